--- /dev/null
+++ b/tests/history_digest.py
@@ -0,0 +1,133 @@
+"""Plays whole sites under fixed seeds and prints a digest of what happened on each.
+
+`PYTHONHASHSEED=0 python -m tests.history_digest` prints JSON: for each story the number of events,
+the revision that the state service came to, and a digest of the history. The same sources give the
+same digests, so that a change of code that is to change no behaviour can be held to that.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import hashlib
+import json
+from collections.abc import Awaitable, Callable
+
+import msgspec
+
+from badgerseam.options.classes import ClassesOptions, ClassOptions
+from badgerseam.options.standby import StandbyOptions
+from badgerseam.settings import (
+    AccountingOptions,
+    BatchOptions,
+    ExplainOptions,
+    RolloutOptions,
+    Tunables,
+)
+from tests.fake_time import Policy
+from tests.world import World, play
+
+ALL = Tunables(
+    accounting=AccountingOptions(),
+    batch=BatchOptions(),
+    classes=ClassesOptions([ClassOptions("signing", ["sign"]), ClassOptions("reports")]),
+    explain=ExplainOptions(),
+    rollout=RolloutOptions(steady_s=2.0),
+    standby=StandbyOptions(),
+)
+TEAMS = ("blue", "red", "teal")
+
+
+async def work(world: World, jobs: int = 12) -> None:
+    """Jobs of all teams, ranks and sizes, some of them cancelled."""
+    ranks = ("standard", "high", "production", "best_effort")
+    for number in range(jobs):
+        job = f"job-{number:06}"
+        await world.submit(
+            job,
+            4.0 + 3.0 * (number % 5),
+            owner=TEAMS[number % 3],
+            pieces=1 + number % 6,
+            rank=ranks[number % 4],
+        )
+        if number % 5 == 4:
+            world.at_once(world.cancel(job))
+        await world.go_on(0.4)
+
+
+async def quiet(world: World) -> None:
+    await work(world)
+    await world.go_on(60.0)
+
+
+async def controllers_end(world: World) -> None:
+    await work(world, 6)
+    world.break_("kill", target=world.leader, back_s=1.0)
+    await work_later(world)
+    world.break_("kill", target="all", back_s=2.0)
+    await world.go_on(60.0)
+
+
+async def work_later(world: World) -> None:
+    for number in range(20, 26):
+        await world.submit(f"job-{number:06}", 6.0, owner=TEAMS[number % 3], pieces=3)
+        await world.go_on(0.7)
+
+
+async def links_fail(world: World) -> None:
+    await work(world, 6)
+    world.break_("island", target=world.owner("blue"), to="cut", for_s=20.0)
+    await work_later(world)
+    await world.go_on(30.0)
+    world.break_("state-down", for_s=10.0)
+    world.break_("late-writes", factor=0.3, for_s=15.0)
+    await world.go_on(60.0)
+
+
+async def machines_fail(world: World) -> None:
+    await work(world, 9)
+    world.break_("die", count=1)
+    world.break_("hang-machine", count=1, for_s=20.0)
+    world.break_("deaf", target="a", for_s=12.0)
+    await work_later(world)
+    world.break_("copies", factor=0.5, for_s=20.0)
+    world.break_("late-commands", factor=0.3, for_s=10.0)
+    world.break_("odd-requests", for_s=10.0)
+    world.break_("close-looks", for_s=10.0)
+    await world.go_on(70.0)
+
+
+STORIES: list[tuple[str, int, Tunables, Callable[[World], Awaitable[None]]]] = [
+    ("quiet", 1, Tunables(), quiet),
+    ("quiet, all subsystems", 2, ALL, quiet),
+    ("controllers end", 3, Tunables(), controllers_end),
+    ("controllers end, all subsystems", 4, ALL, controllers_end),
+    ("links fail", 5, Tunables(), links_fail),
+    ("links fail, all subsystems", 6, ALL, links_fail),
+    ("machines fail", 7, Tunables(), machines_fail),
+    ("machines fail, all subsystems", 8, ALL, machines_fail),
+]
+
+
+def digest_of(world: World) -> list[object]:
+    """Events, the state service's revision, and a digest; texts for people are left out."""
+    lines = []
+    for event in world.history.events:
+        entry = msgspec.to_builtins(event)
+        for name in ("text", "about"):
+            entry.pop(name, None)
+        lines.append(json.dumps(entry, sort_keys=True))
+    digest = hashlib.sha256("\n".join(lines).encode()).hexdigest()
+    return [len(lines), world.state_core.revision, digest]
+
+
+def digests() -> dict[str, list[object]]:
+    """The digest of each story."""
+    return {
+        name: digest_of(play(story, seed, tunables=tunables))
+        for name, seed, tunables, story in STORIES
+    }
+
+
+if __name__ == "__main__":
+    asyncio.set_event_loop_policy(Policy())
+    print(json.dumps(digests(), indent=1))
