--- a/badgerseam/accounting/accounts.py
+++ b/badgerseam/accounting/accounts.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
+from badgerseam.accounting.attempt_ends import cause_of, seconds_run
 from badgerseam.accounting.attempts import AttemptLog
-from badgerseam.accounting.book import Book
-from badgerseam.accounting.ends import cause_of, seconds_run
+from badgerseam.accounting.job_history import Book
 from badgerseam.model.accounts import Unclosed
 from badgerseam.model.job import Attempt, Job
 from badgerseam.model.meter import Meter
--- a/badgerseam/api/accounting.py
+++ b/badgerseam/api/accounting.py
@@ -5,7 +5,7 @@
 from urllib.parse import parse_qsl
 
 from badgerseam.accounting.attempts import AttemptLog
-from badgerseam.accounting.book import Book
+from badgerseam.accounting.job_history import Book
 from badgerseam.api.lists import BadQuery, lines_reply, read_filters
 from badgerseam.http.budget import Budget
 from badgerseam.http.server import Reply, error_reply
--- a/badgerseam/api/classes.py
+++ b/badgerseam/api/classes.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from badgerseam.classes.keeper import Keeper
+from badgerseam.classes.class_record import Keeper
 from badgerseam.classes.rules import Rules
 from badgerseam.classes.table import to_options
 from badgerseam.http.server import Reply, error_reply
--- a/badgerseam/api/rollout.py
+++ b/badgerseam/api/rollout.py
@@ -4,17 +4,17 @@
 
 import msgspec
 
-from badgerseam.cluster.away import Away
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.availability import Away
+from badgerseam.cluster.membership import Member
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.model import Model
-from badgerseam.rollout.carrying import Carrying
 from badgerseam.rollout.handover import Handover
-from badgerseam.rollout.raising import Raising
-from badgerseam.rollout.refresh import Refresh
+from badgerseam.rollout.level_upgrade import Raising
+from badgerseam.rollout.migration import Carrying
+from badgerseam.rollout.page_refresh import Refresh
 from badgerseam.store.client import Refused
 from badgerseam.wire import rollout as wire
-from badgerseam.workers.silence import RECENT_REPORTS
+from badgerseam.workers.lease_expiry import RECENT_REPORTS
 
 ROLLOUT = "/rollout"
 RETRY_S = 1
--- a/badgerseam/api/runs.py
+++ b/badgerseam/api/runs.py
@@ -17,9 +17,9 @@
 from badgerseam.model.job import Job
 from badgerseam.model.keys import run_key
 from badgerseam.model.model import Model
-from badgerseam.runs.book import Book, PlanJobs, Standing
 from badgerseam.runs.counting import SLICE, count
-from badgerseam.runs.keeper import Keeper
+from badgerseam.runs.run_index import Book, PlanJobs, Standing
+from badgerseam.runs.run_lifecycle import Keeper
 from badgerseam.store.client import StateClient
 from badgerseam.wire import runs as wire
 from badgerseam.wire.state import StoredRun
--- a/badgerseam/api/users.py
+++ b/badgerseam/api/users.py
@@ -13,12 +13,12 @@
 from badgerseam.api.accounting import ACCOUNTING, AccountingApi
 from badgerseam.api.batch import MACHINES, NUMBERS, BatchApi
 from badgerseam.api.classes import CLASSES, ClassesApi
-from badgerseam.api.questions import Questions
+from badgerseam.api.explain import Questions
 from badgerseam.api.rollout import ROLLOUT, RolloutApi
 from badgerseam.api.runs import RUNS, RunsApi
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.away import Away
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.availability import Away
+from badgerseam.cluster.membership import Member
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.job import Job, Phase
 from badgerseam.model.keys import job_key
@@ -32,7 +32,7 @@
 from badgerseam.wire import explain
 from badgerseam.wire import users as wire
 from badgerseam.wire.state import Condition
-from badgerseam.workers.control import Control
+from badgerseam.workers.worker_manager import Control
 
 T = TypeVar("T")
 
--- a/badgerseam/classes/keeper.py
+++ b/badgerseam/classes/class_record.py
@@ -12,7 +12,7 @@
 
 from badgerseam.background import BackgroundTasks
 from badgerseam.classes.table import digest_of, to_record
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.model.keys import CLASSES_KEY, LEADER_KEY, node_key
 from badgerseam.model.model import Model
 from badgerseam.model.state import Held, Present
--- a/badgerseam/classes/jumps.py
+++ b/badgerseam/classes/priority_inversions.py
@@ -13,7 +13,7 @@
 
 from badgerseam.model.resources import Resources
 from badgerseam.sched import pts
-from badgerseam.sched.bench import barred
+from badgerseam.sched.tentative_state import barred
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgerseam/classes/rules.py
+++ b/badgerseam/classes/rules.py
@@ -4,10 +4,10 @@
 
 import logging
 
-from badgerseam.classes import pressure
-from badgerseam.classes.bounds import Kept, keep
-from badgerseam.classes.jumps import jumps
-from badgerseam.classes.pressure import Kind
+from badgerseam.classes import arrival_forecast
+from badgerseam.classes.arrival_forecast import Kind
+from badgerseam.classes.capacity_reservation import Kept, keep
+from badgerseam.classes.priority_inversions import jumps
 from badgerseam.classes.table import Table
 from badgerseam.model.job import Job, Phase
 from badgerseam.model.model import Model
@@ -150,15 +150,15 @@
         if self._clock.now() >= until or len(table.names) < 2:
             return []
         since = share.owned_since
-        if since - share.vacant_since < pressure.LONGEST_GAP_S:
+        if since - share.vacant_since < arrival_forecast.LONGEST_GAP_S:
             since = share.vacant_since
         arrivals = self._model.arrivals
         known = self._rates.get(share.index)
         if known is None or known[0] != share.owned_since:
             lowest = len(table.names) - 1
-            found = pressure.rates(arrivals, self.of_arrival, share.index, since, lowest)
+            found = arrival_forecast.rates(arrivals, self.of_arrival, share.index, since, lowest)
             known = self._rates[share.index] = (share.owned_since, found)
-        coming = pressure.missing(
+        coming = arrival_forecast.missing(
             known[1], reversed(arrivals), self.of_arrival, share.index, since, until
         )
         return [
@@ -238,7 +238,7 @@
         if self._led[0] != leader.version:
             found: list[int] = []
             for share in self._model.shares:
-                rates = pressure.rates(
+                rates = arrival_forecast.rates(
                     self._model.arrivals,
                     self.of_arrival,
                     share.index,
--- a/badgerseam/cli/__init__.py
+++ b/badgerseam/cli/__init__.py
@@ -101,7 +101,7 @@
     import uvloop
 
     from badgerseam.clock import Clock, make_random
-    from badgerseam.node import Node
+    from badgerseam.controller import Node
 
     # What a controller keeps lives long, so that circles in it are looked for more rarely than
     # after each 700 new objects: with the bound on plans a tenth less time on a long backlog.
--- a/badgerseam/cli/lab.py
+++ b/badgerseam/cli/lab.py
@@ -131,7 +131,7 @@
 def _cost(options: argparse.Namespace) -> int:
     import msgspec
 
-    from badgerseam.lab.measures import measure_book, measure_queue, measure_why
+    from badgerseam.lab.cost_measurements import measure_book, measure_queue, measure_why
 
     if options.order != "why-cost":
         if options.jobs < 1:
@@ -157,8 +157,8 @@
 async def _up(options: argparse.Namespace) -> int:
     from badgerseam import logs
     from badgerseam.clock import Clock
-    from badgerseam.lab.control import ControlPort
-    from badgerseam.lab.faults import Breaker
+    from badgerseam.lab.control_endpoint import ControlPort
+    from badgerseam.lab.fault_injector import Breaker
     from badgerseam.lab.lab import Lab, free_ports, read_card
     from badgerseam.lab.site import load_site
 
--- a/badgerseam/cli/render.py
+++ b/badgerseam/cli/render.py
@@ -5,7 +5,7 @@
 import shutil
 import textwrap
 
-from badgerseam.explain.words import counted
+from badgerseam.explain.text import counted
 from badgerseam.wire.explain import QueueLine, Reason, Why
 
 STATES = {
--- a/badgerseam/cli/rollout.py
+++ b/badgerseam/cli/rollout.py
@@ -12,7 +12,7 @@
 from badgerseam.wire import rollout as wire
 
 if TYPE_CHECKING:
-    from badgerseam.rollout.choreography import Limits
+    from badgerseam.rollout.rolling_update import Limits
 
 Commands = argparse._SubParsersAction
 PATH = "/rollout"
@@ -175,7 +175,7 @@
 
 async def _roll(options: argparse.Namespace) -> int:
     from badgerseam.clock import Clock
-    from badgerseam.rollout.choreography import Choreography, Limits, Stopped, order
+    from badgerseam.rollout.rolling_update import Choreography, Limits, Stopped, order
 
     addresses: dict[str, str] = {}
     for address in options.node.split(","):
--- a/badgerseam/cluster/deputies.py
+++ b/badgerseam/cluster/heartbeat_proxy.py
@@ -26,8 +26,8 @@
 from collections.abc import Callable
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.island import Island
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
+from badgerseam.cluster.partition import Island
 from badgerseam.model.job import Phase
 from badgerseam.model.keys import deputy_key, node_key
 from badgerseam.model.machine import Machine
@@ -112,7 +112,7 @@
         """Whether a launch of a cancelled task may be held back on its way to a machine, and a
         lease that we renew would keep its token and session valid beyond the time for that task.
 
-        One that its owner saw end is in no page any more (`store/leavings.py`). Sessions tell
+        One that its owner saw end is in no page any more (`store/stale_pages.py`). Sessions tell
         nothing: a copy of an old report cannot be told from the report of a machine whose lease has
         ended for lack of our answer, and an owner may reach a machine that does not reach it.
         """
@@ -215,7 +215,8 @@
             before = self._named.get(name)
             if reloaded or still or before != (named_at, still):
                 # It does, or did since the last look. Where its record went with its lease, that
-                # may have been ended early (badgerseam/standby/watch.py), and it acts on the record
+                # may have been ended early (badgerseam/standby/failure_detector.py), and it acts
+                # on the record
                 # for as long as the lease would have lasted. Read anew, that may go unseen.
                 gone = deputy is None and (self.ends_early if reloaded else before is not None)
                 late = self._ttl_s + SLACK_S if gone else 0.0
--- a/badgerseam/cluster/member.py
+++ b/badgerseam/cluster/membership.py
@@ -8,10 +8,10 @@
 
 from badgerseam import __version__
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.away import Away
+from badgerseam.cluster.availability import Away
 from badgerseam.cluster.claims import remove_claim
-from badgerseam.cluster.gatekeeper import Gatekeeper
-from badgerseam.cluster.own_record import write_own
+from badgerseam.cluster.registration import write_own
+from badgerseam.cluster.takeover_checks import Gatekeeper
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.model import Model
 from badgerseam.model.state import Held, Share
--- a/badgerseam/cluster/island.py
+++ b/badgerseam/cluster/partition.py
@@ -22,7 +22,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.model.machine import BUMP_BITS, Machine
 from badgerseam.model.model import Model
 from badgerseam.model.state import Share
--- a/badgerseam/cluster/peers.py
+++ b/badgerseam/cluster/peers.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from badgerseam.fleet.returns import Returns
+from badgerseam.fleet.machine_transfer import Returns
 from badgerseam.http.client import Client, NoResponse, TurnedAway
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
-from badgerseam.store.allotment import Allotment
 from badgerseam.store.client import StateClient
+from badgerseam.store.write_rate import Allotment
 from badgerseam.wire import explain, rollout
 from badgerseam.wire import peers as wire
 from badgerseam.wire.explain import CloudView
--- a/badgerseam/cluster/following.py
+++ b/badgerseam/cluster/watch_health.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from badgerseam.cluster.away import Away
-from badgerseam.cluster.member import AskToTake, Member
+from badgerseam.cluster.availability import Away
+from badgerseam.cluster.membership import AskToTake, Member
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.model import Model
 from badgerseam.store.client import StateClient, Unavailable
--- a/badgerseam/node.py
+++ b/badgerseam/controller.py
@@ -12,50 +12,50 @@
 from badgerseam.api.accounting import AccountingApi
 from badgerseam.api.batch import BatchApi
 from badgerseam.api.classes import ClassesApi
-from badgerseam.api.questions import Questions
+from badgerseam.api.explain import Questions
 from badgerseam.api.rollout import RolloutApi
 from badgerseam.api.runs import RunsApi
 from badgerseam.api.users import Api
 from badgerseam.background import BackgroundTasks
 from badgerseam.batch.numbers import Numbers
-from badgerseam.classes.keeper import Keeper as ClassesKeeper
+from badgerseam.classes.class_record import Keeper as ClassesKeeper
 from badgerseam.classes.rules import Rules
 from badgerseam.clock import Clock
-from badgerseam.cluster.away import Away
-from badgerseam.cluster.deputies import Deputies
-from badgerseam.cluster.following import Following
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.availability import Away
+from badgerseam.cluster.heartbeat_proxy import Deputies
+from badgerseam.cluster.membership import Member
 from badgerseam.cluster.peers import Peers
+from badgerseam.cluster.watch_health import Following
 from badgerseam.explain.explainer import Explainer
 from badgerseam.fleet.cloud import Cloud
+from badgerseam.fleet.machine_transfer import Returns
 from badgerseam.fleet.manager import Fleet
-from badgerseam.fleet.returns import Returns
 from badgerseam.http.network import SOCKETS, Network
 from badgerseam.http.server import Handler, Server
 from badgerseam.model.job import Stage
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
-from badgerseam.replicas.keeper import Keeper as ReplicasKeeper
-from badgerseam.rollout.carrying import FORMS, Carrying
+from badgerseam.replicas.reconciler import Keeper as ReplicasKeeper
 from badgerseam.rollout.handover import Handover
-from badgerseam.rollout.raising import Raising
-from badgerseam.rollout.refresh import Refresh
-from badgerseam.runs.book import Book
-from badgerseam.runs.keeper import Keeper as RunsKeeper
+from badgerseam.rollout.level_upgrade import Raising
+from badgerseam.rollout.migration import FORMS, Carrying
+from badgerseam.rollout.page_refresh import Refresh
 from badgerseam.runs.rules import RunRules
+from badgerseam.runs.run_index import Book
+from badgerseam.runs.run_lifecycle import Keeper as RunsKeeper
 from badgerseam.sched.planner import Planner
 from badgerseam.settings import Settings, Tunables
-from badgerseam.standby.keeper import Standby
-from badgerseam.store.allotment import Allotment
+from badgerseam.standby.warm_standby import Standby
 from badgerseam.store.client import StateClient
 from badgerseam.store.committer import Committer
-from badgerseam.store.leavings import leavings
 from badgerseam.store.ledger import Ledger
-from badgerseam.store.replica import Replica
-from badgerseam.store.roster import Roster
-from badgerseam.workers.control import Control
+from badgerseam.store.machine_records import Roster
+from badgerseam.store.stale_pages import leavings
+from badgerseam.store.state_watcher import Replica
+from badgerseam.store.write_rate import Allotment
 from badgerseam.workers.draining import drain
 from badgerseam.workers.inspection import lacks_addresses
+from badgerseam.workers.worker_manager import Control
 
 log = logging.getLogger("badgerseam")
 
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -8,7 +8,7 @@
 
 from msgspec.structs import replace
 
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.explain.history import History
 from badgerseam.explain.reasons import Context, ahead, groups
 from badgerseam.explain.supply import AskLeader, CloudWord
--- a/badgerseam/explain/reasons.py
+++ b/badgerseam/explain/reasons.py
@@ -8,13 +8,13 @@
 from badgerseam.explain.members import members_wait
 from badgerseam.explain.supply import Supply, supply_reasons
 from badgerseam.explain.surveys import Survey
-from badgerseam.explain.words import counted
+from badgerseam.explain.text import counted
 from badgerseam.model.job import HIGH_RANK, RANKS, Attempt, Job, Stage
 from badgerseam.model.model import Model
 from badgerseam.model.resources import Resources
-from badgerseam.sched.bench import Bar
 from badgerseam.sched.diagnosis import Barred, Finding
 from badgerseam.sched.snapshot import slots_of
+from badgerseam.sched.tentative_state import Bar
 from badgerseam.wire.explain import Ahead, Code, Group, Reason, State
 from badgerseam.wire.users import Terms
 
--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, field
 
 from badgerseam.clock import Clock
-from badgerseam.explain.words import counted
-from badgerseam.fleet.boots import SPREAD
+from badgerseam.explain.text import counted
+from badgerseam.fleet.boot_times import SPREAD
 from badgerseam.fleet.demand import Offer, options, virtual_node
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 from badgerseam.model.state import Share
-from badgerseam.sched.bench import barred
 from badgerseam.sched.planner import Planner
 from badgerseam.sched.snapshot import Node, Request
+from badgerseam.sched.tentative_state import barred
 from badgerseam.wire.explain import CloudView, Reason
 
 VIEW_S = 1.0
--- a/badgerseam/fleet/returns.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -14,7 +14,7 @@
 from badgerseam.model.model import Model
 from badgerseam.model.resources import NOTHING
 from badgerseam.sched.planner import Planner
-from badgerseam.store.roster import Roster
+from badgerseam.store.machine_records import Roster
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.fleet")
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -9,15 +9,15 @@
 from statistics import NormalDist
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.fleet import policy
-from badgerseam.fleet.boots import SPREAD, Boots
+from badgerseam.fleet.boot_times import SPREAD, Boots
 from badgerseam.fleet.cloud import Cloud, CloudTrouble
 from badgerseam.fleet.demand import Offer, options, virtual_node
-from badgerseam.fleet.hiring import Hiring
-from badgerseam.fleet.releases import Releases
-from badgerseam.fleet.returns import DROP
-from badgerseam.fleet.vacancies import VACATE_S, Vacancies
+from badgerseam.fleet.evacuation import VACATE_S, Vacancies
+from badgerseam.fleet.machine_transfer import DROP
+from badgerseam.fleet.scale_in import Releases
+from badgerseam.fleet.scale_out import Hiring
 from badgerseam.model.keys import LEADER_KEY, TYPES_KEY
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
@@ -26,7 +26,7 @@
 from badgerseam.sched.planner import Planner
 from badgerseam.settings import Tunables
 from badgerseam.store.committer import Committer, Urgency
-from badgerseam.store.roster import NOT_WRITTEN, Roster
+from badgerseam.store.machine_records import NOT_WRITTEN, Roster
 from badgerseam.wire import cloud as cloud_wire
 from badgerseam.wire import state as wire
 from badgerseam.wire.explain import Blocked, CloudView
--- a/badgerseam/fleet/releases.py
+++ b/badgerseam/fleet/scale_in.py
@@ -6,12 +6,12 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.fleet.cloud import Cloud, CloudTrouble
 from badgerseam.model.keys import LEADER_KEY
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
-from badgerseam.store.roster import Roster
+from badgerseam.store.machine_records import Roster
 
 log = logging.getLogger("badgerseam.fleet")
 
--- a/badgerseam/fleet/hiring.py
+++ b/badgerseam/fleet/scale_out.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.fleet.cloud import Cloud, CloudTrouble, NoCapacity
 from badgerseam.fleet.demand import Offer
 from badgerseam.model.keys import LEADER_KEY, hire_key
@@ -17,7 +17,7 @@
 from badgerseam.sched import pts
 from badgerseam.store.client import Refused
 from badgerseam.store.committer import Committer, Urgency
-from badgerseam.store.roster import NOT_WRITTEN, Roster
+from badgerseam.store.machine_records import NOT_WRITTEN, Roster
 from badgerseam.wire import cloud as cloud_wire
 from badgerseam.wire import state as wire
 
--- a/badgerseam/lab/meddlers.py
+++ b/badgerseam/lab/adversarial_clients.py
@@ -14,8 +14,8 @@
 
 from badgerseam.background import BackgroundTasks
 from badgerseam.clock import Clock
-from badgerseam.lab.front import FINAL, Front, Truth
 from badgerseam.lab.load import PATIENCE_S
+from badgerseam.lab.load_balancer import FINAL, Front, Truth
 from badgerseam.lab.machines import Machine
 from badgerseam.wire.users import Submission
 
--- a/badgerseam/lab/control.py
+++ b/badgerseam/lab/control_endpoint.py
@@ -6,7 +6,7 @@
 
 from badgerseam.http.server import Reply, Server, error_reply
 from badgerseam.lab.fault import DEEDS, fault_decoder
-from badgerseam.lab.faults import Breaker
+from badgerseam.lab.fault_injector import Breaker
 from badgerseam.lab.lab import Lab, LabError
 
 
--- a/badgerseam/lab/controllers.py
+++ b/badgerseam/lab/controllers.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from badgerseam.clock import Clock
-from badgerseam.lab.trees import Tree
+from badgerseam.lab.checkouts import Tree
 
 log = logging.getLogger("badgerseam.lab")
 
--- a/badgerseam/lab/measures.py
+++ b/badgerseam/lab/cost_measurements.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from badgerseam.accounting.book import Book
+from badgerseam.accounting.job_history import Book
 from badgerseam.api.accounting import AccountingApi
 from badgerseam.clock import Clock
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.explain.supply import CloudWord
 from badgerseam.explain.surveys import Surveys
 from badgerseam.lab.lab import free_ports
@@ -171,7 +171,7 @@
 
 
 async def _measure_queue(jobs: int, seed: int) -> QueueCost:
-    from badgerseam.api.questions import Questions
+    from badgerseam.api.explain import Questions
     from badgerseam.cli.client import Front
     from badgerseam.explain.explainer import Explainer
     from badgerseam.http.server import Reply, Server
--- a/badgerseam/lab/demo.py
+++ b/badgerseam/lab/demo.py
@@ -9,7 +9,7 @@
 from badgerseam.cli.render import why_text
 from badgerseam.http.client import Client, NoResponse, Response
 from badgerseam.lab.fault import Fault
-from badgerseam.lab.faults import Breaker
+from badgerseam.lab.fault_injector import Breaker
 from badgerseam.lab.lab import Lab, LabError
 from badgerseam.wire import explain
 
--- a/badgerseam/lab/experiment.py
+++ b/badgerseam/lab/experiment.py
@@ -11,10 +11,10 @@
 from msgspec import Meta, Struct, field
 
 from badgerseam.cli.client import Unreachable
+from badgerseam.lab.explain_load import Asker
 from badgerseam.lab.fault import Fault
-from badgerseam.lab.faults import Breaker
+from badgerseam.lab.fault_injector import Breaker
 from badgerseam.lab.lab import Lab, LabError
-from badgerseam.lab.questions import Asker
 from badgerseam.lab.reconcile import reconcile
 from badgerseam.lab.report import Report, Sample, summarize
 from badgerseam.lab.site import Site, check_site
--- a/badgerseam/lab/faults.py
+++ b/badgerseam/lab/fault_injector.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 
 from badgerseam.background import BackgroundTasks
+from badgerseam.lab.checkouts import Tree
 from badgerseam.lab.controllers import Controller
 from badgerseam.lab.fault import LINKED, NO_EXCUSE, Fault
 from badgerseam.lab.lab import Lab, LabError
+from badgerseam.lab.lab_rollout import LabSite
 from badgerseam.lab.links import Trouble
 from badgerseam.lab.machines import ANSWERS, CONTROLLERS, zone_end
-from badgerseam.lab.rolling import LabSite
-from badgerseam.lab.trees import Tree
-from badgerseam.rollout.choreography import Choreography, Stopped
+from badgerseam.rollout.rolling_update import Choreography, Stopped
 
 LOOK_S = 0.05
 AT_ONCE = "at-once"
--- a/badgerseam/lab/lab.py
+++ b/badgerseam/lab/lab.py
@@ -17,23 +17,23 @@
 from badgerseam.clock import Clock
 from badgerseam.http.network import SOCKETS, Network
 from badgerseam.http.server import Server
+from badgerseam.lab.adversarial_clients import Meddlers
 from badgerseam.lab.checker import Breach, Verdict, judge
-from badgerseam.lab.close_looks import CloseLooks
+from badgerseam.lab.checkouts import OWN, Tree, TreeError, lay, own_tree
 from badgerseam.lab.cloud import CloudCore, Rented
 from badgerseam.lab.controllers import Controller
-from badgerseam.lab.copies import Copies
-from badgerseam.lab.front import Front
 from badgerseam.lab.history import History, Kind
 from badgerseam.lab.late_commands import LateCommands
+from badgerseam.lab.late_heartbeats import Copies
 from badgerseam.lab.links import Links, Relay
 from badgerseam.lab.load import Load
+from badgerseam.lab.load_balancer import Front
 from badgerseam.lab.machines import Machine
-from badgerseam.lab.meddlers import Meddlers
+from badgerseam.lab.ownership_gaps import Vacancy
+from badgerseam.lab.read_after_write import CloseLooks
 from badgerseam.lab.services import CloudService, StateService, serve_for
 from badgerseam.lab.site import Ports, Site, controller_settings, write_settings
 from badgerseam.lab.state import StateCore
-from badgerseam.lab.trees import OWN, Tree, TreeError, lay, own_tree
-from badgerseam.lab.vacancy import Vacancy
 from badgerseam.lab.worker import Identity, Results, WorkerCore
 from badgerseam.model.keys import LEADER_KEY
 from badgerseam.model.resources import Resources
--- a/badgerseam/lab/rolling.py
+++ b/badgerseam/lab/lab_rollout.py
@@ -4,8 +4,8 @@
 
 from badgerseam.cli.client import Front, Unreachable, refusal
 from badgerseam.cli.rollout import ask_view
+from badgerseam.lab.checkouts import Tree
 from badgerseam.lab.lab import Lab
-from badgerseam.lab.trees import Tree
 from badgerseam.wire.rollout import View
 
 
--- a/badgerseam/lab/copies.py
+++ b/badgerseam/lab/late_heartbeats.py
@@ -10,7 +10,7 @@
 from badgerseam.http.client import NoResponse
 from badgerseam.http.network import SOCKETS, Network
 from badgerseam.lab.links import Links
-from badgerseam.lab.next_leader import NextLeader
+from badgerseam.lab.next_leader_heartbeats import NextLeader
 
 SOONEST_S = 1.0
 LEASES = 3.0
--- a/badgerseam/lab/load.py
+++ b/badgerseam/lab/load.py
@@ -13,7 +13,7 @@
 
 from badgerseam.background import BackgroundTasks
 from badgerseam.http.client import Client, NoResponse
-from badgerseam.lab.front import Front, Truth
+from badgerseam.lab.load_balancer import Front, Truth
 from badgerseam.lab.site import JobClass
 from badgerseam.wire import batch as batch_wire
 from badgerseam.wire import users as wire
--- a/badgerseam/lab/close_looks.py
+++ b/badgerseam/lab/read_after_write.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.lab.front import Front
 from badgerseam.lab.history import END_PHASES
+from badgerseam.lab.load_balancer import Front
 
 ROUNDS = 5
 MOST_PAUSE_S = 0.1
--- a/badgerseam/lab/report.py
+++ b/badgerseam/lab/report.py
@@ -13,15 +13,15 @@
 from hdrh.histogram import HdrHistogram
 from msgspec import Struct, field
 
-from badgerseam.lab.jumps import find_jumps
+from badgerseam.lab.priority_inversions import find_jumps
 from badgerseam.lab.reconcile import Reconciled
 from badgerseam.lab.served import Largest, Served
 from badgerseam.model.resources import Resources
 
 if TYPE_CHECKING:
+    from badgerseam.lab.explain_load import Asker
     from badgerseam.lab.history import Event
     from badgerseam.lab.lab import Lab
-    from badgerseam.lab.questions import Asker
 
 QUANTILES = (50.0, 90.0, 99.0, 100.0)
 
--- a/badgerseam/model/records.py
+++ b/badgerseam/model/records.py
@@ -18,6 +18,7 @@
     Phase,
     Stage,
 )
+from badgerseam.model.job_observer import JobWatch
 from badgerseam.model.keys import (
     CLASSES_KEY,
     LEADER_KEY,
@@ -44,7 +45,6 @@
     StandIn,
     TeamState,
 )
-from badgerseam.model.watch import JobWatch
 from badgerseam.settings import Settings
 from badgerseam.wire import state as wire
 from badgerseam.wire.cloud import MachineType
--- a/badgerseam/replicas/sight.py
+++ b/badgerseam/replicas/observed_state.py
@@ -5,7 +5,7 @@
 from badgerseam.model.job import FINISHED, Host, Job, Stage
 from badgerseam.model.model import Model
 from badgerseam.replicas.phases import Seen
-from badgerseam.replicas.rooms import Rooms
+from badgerseam.replicas.reservations import Rooms
 
 SILENT_REPORTS = 3
 """Report intervals without a report after which a machine counts as hanging."""
--- a/badgerseam/replicas/keeper.py
+++ b/badgerseam/replicas/reconciler.py
@@ -1,7 +1,7 @@
 """Keeps the replicas that span machines, for the shares that this controller owns.
 
 Only replicas of which something has changed are looked at, or whose time has come; what a plan has
-placed for them is made durable with their note in one transaction (`store/pages.py`).
+placed for them is made durable with their note in one transaction (`store/task_log.py`).
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from badgerseam.model.resources import Resources
 from badgerseam.model.state import Share
 from badgerseam.options.replicas import ReplicasOptions
-from badgerseam.replicas.asks import Asks
+from badgerseam.replicas.observed_state import Sight
 from badgerseam.replicas.phases import NAMES, Bounds, Intent, Next, Seen, Step, decide
 from badgerseam.replicas.records import Entry, Replica, read, write
-from badgerseam.replicas.rooms import Rooms
+from badgerseam.replicas.requests import Asks
+from badgerseam.replicas.reservations import Rooms
 from badgerseam.replicas.shapes import Shape, shape_of
-from badgerseam.replicas.sight import Sight
 from badgerseam.sched.planner import MOST_STARTS, SAVE_SLACK_S, Planner
 from badgerseam.sched.snapshot import Plan, Request, Whole
 from badgerseam.wire.state import StoredReplica
--- a/badgerseam/replicas/asks.py
+++ b/badgerseam/replicas/requests.py
@@ -8,7 +8,7 @@
 from badgerseam.levels.table import Behaviour
 from badgerseam.model.job import IDLE, Job
 from badgerseam.model.model import Model
-from badgerseam.replicas.rooms import Rooms
+from badgerseam.replicas.reservations import Rooms
 from badgerseam.replicas.shapes import Shape
 from badgerseam.sched.planner import MOST_STARTS, SAVE_SLACK_S, Planner
 from badgerseam.sched.snapshot import Request, Span
--- a/badgerseam/replicas/rooms.py
+++ b/badgerseam/replicas/reservations.py
@@ -16,7 +16,7 @@
 
 class Rooms:
     """A plan sees the kept room as taken (`Planner.node`), and gives it back to the replica alone
-    that it is kept for (`sched/spans.py`)."""
+    that it is kept for (`sched/gang_placement.py`)."""
 
     def __init__(self, model: Model) -> None:
         self._model = model
--- a/badgerseam/rollout/handover.py
+++ b/badgerseam/rollout/handover.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.away import Away
-from badgerseam.cluster.member import AskToTake, Member
+from badgerseam.cluster.availability import Away
+from badgerseam.cluster.membership import AskToTake, Member
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.model import Model
 from badgerseam.model.state import STALE_S
--- a/badgerseam/rollout/raising.py
+++ b/badgerseam/rollout/level_upgrade.py
@@ -12,7 +12,7 @@
 import logging
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.levels.table import FIRST
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY, TARGET_KEY, node_key
 from badgerseam.model.model import Model
--- a/badgerseam/rollout/carrying.py
+++ b/badgerseam/rollout/migration.py
@@ -1,12 +1,12 @@
 """Carrying old records over to the form of the site's level, in the background.
 
 Some levels need nothing of the kind: what was written before stays valid, and is written anew by
-the work itself (`rollout/refresh.py`). Others have a form whose reader is to be dropped one day.
-Then the leader reads the keys in question page by page and writes each record that is still in the
-older form anew: on the stamps of the record and of the level, so that a step that is done twice, or
-applied late, or overtaken by the record's owner, fails and changes nothing. Nothing is kept of how
-far it has come but the records themselves: whoever leads next starts at the first key, and reads
-past what is done, a thousand records a request.
+the work itself (`rollout/page_refresh.py`). Others have a form whose reader is to be dropped one
+day. Then the leader reads the keys in question page by page and writes each record that is still
+in the older form anew: on the stamps of the record and of the level, so that a step that is done
+twice, or applied late, or overtaken by the record's owner, fails and changes nothing. Nothing is
+kept of how far it has come but the records themselves: whoever leads next starts at the first key,
+and reads past what is done, a thousand records a request.
 
 After the raise nobody can write the older form any more (design.md, point 11). So one pass that
 began after it and met none proves that there is none, and only that is written into the level's
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY
 from badgerseam.model.model import Model
 from badgerseam.store.client import LeaseLost, Refused, StateClient, Unavailable
--- a/badgerseam/rollout/refresh.py
+++ b/badgerseam/rollout/page_refresh.py
@@ -14,8 +14,8 @@
 from badgerseam.model.model import Model
 from badgerseam.store.committer import Committer
 from badgerseam.store.ledger import Ledger
-from badgerseam.store.pages import lacking
-from badgerseam.store.rewriting import Rewriting
+from badgerseam.store.page_rewriter import Rewriting
+from badgerseam.store.task_log import lacking
 from badgerseam.wire.rollout import Refreshing
 
 RAN_S = 20.0
--- a/badgerseam/runs/counting.py
+++ b/badgerseam/runs/counting.py
@@ -8,7 +8,7 @@
 
 from badgerseam.model.job import Job, Phase
 from badgerseam.model.model import Model
-from badgerseam.runs.book import Book, PlanJobs, Standing
+from badgerseam.runs.run_index import Book, PlanJobs, Standing
 
 SLICE = 2000
 """Members looked at before the loop is let go of."""
--- a/badgerseam/runs/rules.py
+++ b/badgerseam/runs/rules.py
@@ -5,7 +5,7 @@
 import math
 
 from badgerseam.model.job import Job
-from badgerseam.runs.book import Book, PlanJobs
+from badgerseam.runs.run_index import Book, PlanJobs
 
 SCALE = 1e-3
 """Estimates only order a run's jobs among each other: an hour counts as some seconds of waiting."""
--- a/badgerseam/runs/keeper.py
+++ b/badgerseam/runs/run_lifecycle.py
@@ -13,11 +13,11 @@
 import logging
 from collections.abc import Callable
 
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY, run_key
 from badgerseam.model.model import Model
-from badgerseam.runs.book import Book, PlanJobs
 from badgerseam.runs.counting import at_work, begun, count, through
+from badgerseam.runs.run_index import Book, PlanJobs
 from badgerseam.runs.windows import Slot, due
 from badgerseam.store.client import LeaseLost, Refused, Unavailable
 from badgerseam.store.committer import Committer, Dropped, Urgency
--- a/badgerseam/sched/diagnosis.py
+++ b/badgerseam/sched/diagnosis.py
@@ -12,8 +12,8 @@
 
 from badgerseam.model.resources import NOTHING, Resources
 from badgerseam.sched import pts
-from badgerseam.sched.bench import Bar, Bars, Bench
 from badgerseam.sched.snapshot import Node, Request, Running, Snapshot
+from badgerseam.sched.tentative_state import Bar, Bars, Bench
 
 NO_BAR = Bar(0)
 MOST_AHEAD = 5
--- a/badgerseam/sched/spans.py
+++ b/badgerseam/sched/gang_placement.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass, replace
 
 from badgerseam.model.resources import Resources
-from badgerseam.sched.bench import (
+from badgerseam.sched.snapshot import Node, Request, Running, Stop, Whole
+from badgerseam.sched.tentative_state import (
     Bench,
     barred,
     eviction_cost,
@@ -20,7 +21,6 @@
     pretend_taken,
     victims_on,
 )
-from badgerseam.sched.snapshot import Node, Request, Running, Stop, Whole
 
 START_S = 0.3
 """What a start takes besides the fetch."""
--- a/badgerseam/sched/pts.py
+++ b/badgerseam/sched/pts.py
@@ -7,7 +7,7 @@
 
 The tasks of a request are alike, so its machines are filtered and scored once, and kept in order
 while its tasks are placed; only the machine that took one is scored anew. The plan is the one that
-a scan of all machines for each task would give: tests/test_pts.py compares them.
+a scan of all machines for each task would give: tests/sched/test_pts.py compares them.
 """
 
 from __future__ import annotations
@@ -16,17 +16,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from badgerseam.sched import spans
-from badgerseam.sched.bench import (
-    Bench,
-    allowed,
-    barred,
-    eviction_cost,
-    position_of,
-    pretend_evicted,
-    pretend_taken,
-    victims_on,
-)
+from badgerseam.sched import gang_placement
 from badgerseam.sched.snapshot import (
     Node,
     Plan,
@@ -38,6 +28,16 @@
     TeamUse,
     slots_of,
 )
+from badgerseam.sched.tentative_state import (
+    Bench,
+    allowed,
+    barred,
+    eviction_cost,
+    position_of,
+    pretend_evicted,
+    pretend_taken,
+    victims_on,
+)
 
 FETCH_FACTORS = (1.5, 1.0)
 """How much longer than stated a fetch takes, surely and likely."""
@@ -150,7 +150,7 @@
 def place(bench: Bench, request: Request, look: Look | None = None) -> int:
     """Place as many tasks of a request as fit; of a gang, all or none. How many were placed."""
     if request.span is not None:
-        return spans.place(bench, request, _score, look)
+        return gang_placement.place(bench, request, _score, look)
     placed = _place(bench, request, look)
     if placed < request.count and bench.within_limit(request):
         bench.result.waiting[request.job] = request.count - placed
--- a/badgerseam/sched/bench.py
+++ b/badgerseam/sched/tentative_state.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from badgerseam.model.resources import NOTHING, Resources, least_of
-from badgerseam.sched.groups import Groups
+from badgerseam.sched.gang_eviction import Groups
 from badgerseam.sched.snapshot import (
     Node,
     Plan,
@@ -215,7 +215,7 @@
 class Bars:
     """All that keeps the next task of a request off machines, as a bench stands.
 
-    A plan places a task on a machine exactly where there is none (tests/test_diagnosis.py).
+    A plan places a task on a machine exactly where there is none (tests/sched/test_diagnosis.py).
     """
 
     def __init__(self, bench: Bench, request: Request, zones: dict[str, int]) -> None:
--- a/badgerseam/standby/watch.py
+++ b/badgerseam/standby/failure_detector.py
@@ -26,11 +26,11 @@
 import msgspec
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.http.client import NoResponse, Reset, TurnedAway
 from badgerseam.model.model import Model
 from badgerseam.options.standby import StandbyOptions
-from badgerseam.standby.heirs import heirs, lease_of
+from badgerseam.standby.successors import heirs, lease_of
 from badgerseam.store.client import LeaseLost, StateClient, Unavailable
 from badgerseam.wire import standby as wire
 
--- a/badgerseam/standby/gate.py
+++ b/badgerseam/standby/takeover_gate.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.membership import Member
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.model import Model
 from badgerseam.model.state import Held, Share
--- a/badgerseam/standby/keeper.py
+++ b/badgerseam/standby/warm_standby.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from badgerseam.cluster.away import Away
-from badgerseam.cluster.member import STEADY_S, Member
+from badgerseam.cluster.availability import Away
+from badgerseam.cluster.membership import STEADY_S, Member
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.model import Model
 from badgerseam.model.state import Held, Share
 from badgerseam.options.standby import StandbyOptions
 from badgerseam.settings import Tunables
-from badgerseam.standby.gate import Gate
-from badgerseam.standby.hints import Blocked, Hints, Source
-from badgerseam.standby.watch import HOLD_S, Ask, Watch
+from badgerseam.standby.failure_detector import HOLD_S, Ask, Watch
+from badgerseam.standby.soft_state import Blocked, Hints, Source
+from badgerseam.standby.takeover_gate import Gate
 from badgerseam.store.client import StateClient
 from badgerseam.wire import standby as wire
 
--- a/badgerseam/store/ledger.py
+++ b/badgerseam/store/ledger.py
@@ -15,7 +15,7 @@
 from badgerseam.store.client import Refused, StateClient, Unavailable
 from badgerseam.store.committer import Committer, Dropped, Rejected, Urgency
 from badgerseam.store.job_records import JobRecords
-from badgerseam.store.pages import Draft, compose, refresh
+from badgerseam.store.task_log import Draft, compose, refresh
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.store")
--- a/badgerseam/store/leavings.py
+++ b/badgerseam/store/stale_pages.py
@@ -13,7 +13,7 @@
 from badgerseam.model.state import Page
 from badgerseam.store.committer import Committer
 from badgerseam.store.ledger import Ledger
-from badgerseam.store.rewriting import Rewriting
+from badgerseam.store.page_rewriter import Rewriting
 
 LOOKED_AT = 8
 """Pages of a share at a time."""
--- a/badgerseam/workers/hearing.py
+++ b/badgerseam/workers/heartbeat_reception.py
@@ -13,8 +13,8 @@
 from itertools import islice
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.away import Away
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.availability import Away
+from badgerseam.cluster.membership import Member
 from badgerseam.http.client import Client
 from badgerseam.model.model import Model
 from badgerseam.workers.inspection import inspect
--- a/badgerseam/workers/reports.py
+++ b/badgerseam/workers/heartbeats.py
@@ -11,7 +11,7 @@
 from badgerseam.model.resources import NOTHING, Resources, sum_of
 from badgerseam.settings import Tunables
 from badgerseam.wire import workers as wire
-from badgerseam.workers import blame
+from badgerseam.workers import fault_attribution
 
 log = logging.getLogger("badgerseam.workers")
 
@@ -181,7 +181,7 @@
                 )
                 machine.images.add(job.spec.image)
             elif stage == Stage.RUNNING:
-                blame.runs_on(attempt, now)
+                fault_attribution.runs_on(attempt, now)
             if attempt.stage != stage:
                 attempt.stage = stage
                 machine.node = None
@@ -198,7 +198,7 @@
             if job.rank < 2 and not attempt.finishing:
                 share.finished += 1
             machine.images.add(job.spec.image)
-            blame.completed(machine, job)
+            fault_attribution.completed(machine, job)
             model.finish(attempt, now + self._tunables.done_delay_s)
             return
         if item.why in ("error", "no_such", "full", "in_use"):
@@ -207,7 +207,7 @@
                 job.failed(now, None)
             else:
                 attempt.error = True
-                if blame.failed(machine, attempt, now) and not machine.draining:
+                if fault_attribution.failed(machine, attempt, now) and not machine.draining:
                     log.info("%s fails the tasks of many jobs: drained", machine.name)
                     machine.draining = True
         model.unplace(attempt)
--- a/badgerseam/workers/silence.py
+++ b/badgerseam/workers/lease_expiry.py
@@ -6,16 +6,16 @@
 from collections.abc import Callable
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.deputies import Deputies
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.heartbeat_proxy import Deputies
+from badgerseam.cluster.membership import Member
 from badgerseam.http.client import Client
 from badgerseam.model.job import Stage
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 from badgerseam.settings import Tunables
+from badgerseam.workers.command_acks import CERTAIN, disobeys, excuse
+from badgerseam.workers.heartbeats import Reports
 from badgerseam.workers.inspection import inspect
-from badgerseam.workers.obeying import CERTAIN, disobeys, excuse
-from badgerseam.workers.reports import Reports
 
 log = logging.getLogger("badgerseam.workers")
 
--- a/badgerseam/workers/control.py
+++ b/badgerseam/workers/worker_manager.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.deputies import Deputies
-from badgerseam.cluster.island import Word
-from badgerseam.cluster.member import Member
+from badgerseam.cluster.heartbeat_proxy import Deputies
+from badgerseam.cluster.membership import Member
+from badgerseam.cluster.partition import Word
 from badgerseam.http.client import Client, NoResponse, NotSent
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.job import Attempt, Phase, Stage
@@ -18,11 +18,11 @@
 from badgerseam.model.model import Model
 from badgerseam.settings import Tunables
 from badgerseam.wire import workers as wire
-from badgerseam.workers.hearing import Hearing
+from badgerseam.workers.command_acks import Obedience, taken_back
+from badgerseam.workers.heartbeat_reception import Hearing
+from badgerseam.workers.heartbeats import Reports
 from badgerseam.workers.inspection import inspect
-from badgerseam.workers.obeying import Obedience, taken_back
-from badgerseam.workers.reports import Reports
-from badgerseam.workers.silence import Silence
+from badgerseam.workers.lease_expiry import Silence
 
 log = logging.getLogger("badgerseam.workers")
 
--- a/tests/test_accounting.py
+++ b/tests/accounting/test_accounting.py
@@ -8,7 +8,7 @@
 import pytest
 
 from badgerseam.model.job import Stage
-from tests.offices import Office, office
+from tests.support.accounting_controller import Office, office
 
 
 def test_a_jobs_summary_is_in_the_record_that_makes_it_done() -> None:
--- a/tests/test_attempts_log.py
+++ b/tests/accounting/test_attempt_log.py
@@ -12,15 +12,15 @@
 
 from badgerseam.accounting import attempts
 from badgerseam.accounting.attempts import AttemptLog, unpack
-from badgerseam.accounting.book import Book
+from badgerseam.accounting.job_history import Book
 from badgerseam.api.accounting import AccountingApi
 from badgerseam.http.server import Reply
 from badgerseam.model.job import Stage
 from badgerseam.settings import AccountingOptions
 from badgerseam.store.client import Unavailable
 from badgerseam.wire.accounting import AttemptRecord, DayTotal, Usage, line_decoder
-from tests.offices import Office, office
-from tests.stand_ins import Rig, drive
+from tests.support.accounting_controller import Office, office
+from tests.support.scripted_peers import Rig, drive
 
 
 class Archive(Office):
--- a/tests/test_api.py
+++ b/tests/api/test_user_api.py
@@ -9,7 +9,7 @@
 import pytest
 
 from badgerseam.api.batch import BatchApi
-from badgerseam.api.questions import Questions
+from badgerseam.api.explain import Questions
 from badgerseam.api.users import Api, Confirmations
 from badgerseam.http.client import Response
 from badgerseam.http.server import Reply
@@ -17,7 +17,7 @@
 from badgerseam.store.client import StateClient
 from badgerseam.wire import state as wire
 from badgerseam.wire.users import Submission
-from tests.stand_ins import FakeHttp, Rig, Worker, seeded, submission
+from tests.support.scripted_peers import FakeHttp, Rig, Worker, seeded, submission
 
 
 def api(rig: Rig, questions: Questions | None = None, batch: BatchApi | None = None) -> Api:
--- a/tests/test_batch.py
+++ b/tests/batch/test_batch.py
@@ -20,8 +20,8 @@
 from badgerseam.store.client import Unavailable
 from badgerseam.wire import state as wire
 from badgerseam.wire.users import Terms
-from tests.stand_ins import Rig, submission
-from tests.test_api import api
+from tests.api.test_user_api import api
+from tests.support.scripted_peers import Rig, submission
 
 
 class Desk(Rig):
--- a/tests/test_classes.py
+++ b/tests/classes/test_classes.py
@@ -11,27 +11,27 @@
 
 import pytest
 
-from badgerseam.classes.bounds import Kept, keep
-from badgerseam.classes.jumps import jumps
+from badgerseam.classes.capacity_reservation import Kept, keep
+from badgerseam.classes.priority_inversions import jumps
 from badgerseam.classes.rules import MOST_HELD_S, PAUSE_S, Rules
 from badgerseam.classes.table import Table, digest_of, to_options, to_record
+from badgerseam.controller import Node
 from badgerseam.fleet import policy
 from badgerseam.fleet.demand import Offer, Option, in_turn
-from badgerseam.fleet.vacancies import Vacancies
+from badgerseam.fleet.evacuation import Vacancies
 from badgerseam.model.job import Job, Stage
 from badgerseam.model.keys import CLASSES_KEY
 from badgerseam.model.machine import Machine
 from badgerseam.model.resources import NOTHING, Resources
 from badgerseam.model.state import Arrival
-from badgerseam.node import Node
 from badgerseam.options.classes import ClassesOptions, ClassOptions, check
 from badgerseam.sched import pts
 from badgerseam.settings import SettingsError, Team, Tunables, check_tunables, load_tunables
 from badgerseam.store.committer import Urgency
-from badgerseam.store.pages import compose
+from badgerseam.store.task_log import compose
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig, seeded, settings, submission
-from tests.test_pts import node, request, snapshot
+from tests.sched.test_pts import node, request, snapshot
+from tests.support.scripted_peers import Rig, seeded, settings, submission
 
 OPTIONS = ClassesOptions(
     [ClassOptions("signing", jobs=["sign"], teams=["blue"]), ClassOptions("reports")]
--- a/tests/test_jumps.py
+++ b/tests/classes/test_priority_inversions.py
@@ -10,12 +10,12 @@
 import pytest
 
 from badgerseam.lab.history import Event
-from badgerseam.lab.jumps import Jump, find_jumps
 from badgerseam.lab.load import make_job
+from badgerseam.lab.priority_inversions import Jump, find_jumps
 from badgerseam.lab.site import JobClass
 from badgerseam.model.resources import Resources
 from badgerseam.settings import Team
-from tests.stand_ins import submission
+from tests.support.scripted_peers import submission
 
 Step = tuple[float, str, dict[str, Any]]
 SIGN, REPORT = "job-000001", "job-000002"
--- a/tests/test_settings.py
+++ b/tests/cli/test_settings.py
@@ -16,7 +16,7 @@
     load_tunables,
     tunables_schema,
 )
-from tests.stand_ins import settings as stand_in_settings
+from tests.support.scripted_peers import settings as stand_in_settings
 
 GOOD = """
 node = "n-0"
--- a/tests/test_gap.py
+++ b/tests/cluster/test_cancellation_bound.py
@@ -10,7 +10,7 @@
 import pytest
 
 from badgerseam.lab.services import WATCH
-from tests.world import SITE, World, played
+from tests.support.simulated_site import SITE, World, played
 
 JOB = "job-000001"
 CANCEL_S = SITE.workers.cancel_s
--- a/tests/test_gap_order.py
+++ b/tests/cluster/test_cancellation_bound_order.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from badgerseam.lab.services import WATCH
-from tests.test_gap import CANCEL_S, JOB, running
-from tests.world import World, played
+from tests.cluster.test_cancellation_bound import CANCEL_S, JOB, running
+from tests.support.simulated_site import World, played
 
 Step = tuple[str, int, float, float]
 """What happens, to the owner (0) or another, for how long, and how long until the next."""
--- a/tests/test_claims.py
+++ b/tests/cluster/test_claims.py
@@ -8,11 +8,11 @@
 import msgspec
 import pytest
 
-from badgerseam.cluster.away import Away
+from badgerseam.cluster.availability import Away
 from badgerseam.cluster.claims import REMOVAL_S
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig, Worker
+from tests.support.scripted_peers import Rig, Worker
 
 
 def holder(rig: Rig, key: str) -> str | None:
--- a/tests/test_election.py
+++ b/tests/cluster/test_election.py
@@ -9,8 +9,8 @@
 import pytest
 
 from badgerseam.model.keys import LEADER_KEY, claim_key
-from tests.test_restarts import Late, deliver
-from tests.trio import BOTH, STEP_S, TTL_S, Controller, Trio, Way
+from tests.cluster.test_restarts import Late, deliver
+from tests.support.three_controllers import BOTH, STEP_S, TTL_S, Controller, Trio, Way
 
 BOUND_S = 2 * TTL_S + 4.0
 """After the last end or start: a lease that ends, claims by turn, one that came late made anew."""
--- a/tests/test_deputies.py
+++ b/tests/cluster/test_heartbeat_proxy.py
@@ -10,7 +10,7 @@
 from badgerseam.model.keys import deputy_key, node_key
 from badgerseam.model.state import STALE_S
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig, Worker, verbs
+from tests.support.scripted_peers import Rig, Worker, verbs
 
 LEASE_S = 17.1
 """A little more than a worker's lease with all its margins."""
--- a/tests/test_island.py
+++ b/tests/cluster/test_partition.py
@@ -10,17 +10,26 @@
 import pytest
 
 from badgerseam.cluster import peers
+from badgerseam.controller import Node
 from badgerseam.http.client import NoResponse, Response
 from badgerseam.http.server import Reply
 from badgerseam.lab.worker import Description, Identity, Results, WorkerCore
 from badgerseam.model.keys import group_key, page_key
 from badgerseam.model.resources import Resources
-from badgerseam.node import Node
 from badgerseam.settings import Tunables
 from badgerseam.wire import state as wire
 from badgerseam.wire import workers as worker_wire
-from tests.stand_ins import ZONES, FakeClock, FakeHttp, Rig, Worker, seeded, settings, submission
-from tests.trio import BOTH, STEP_S, Controller, Trio
+from tests.support.scripted_peers import (
+    ZONES,
+    FakeClock,
+    FakeHttp,
+    Rig,
+    Worker,
+    seeded,
+    settings,
+    submission,
+)
+from tests.support.three_controllers import BOTH, STEP_S, Controller, Trio
 
 REPORT_S, LEASE_S, PATIENCE_S = 2.0, 14.0, 4.0
 MACHINES = 4
--- a/tests/test_restarts.py
+++ b/tests/cluster/test_restarts.py
@@ -15,8 +15,8 @@
 from badgerseam.model.keys import LEADER_KEY, claim_key, node_key
 from badgerseam.store.client import LeaseLost, Refused
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig, Worker, silent
-from tests.trio import BOTH, TTL_S, Controller, Trio, Way
+from tests.support.scripted_peers import Rig, Worker, silent
+from tests.support.three_controllers import BOTH, TTL_S, Controller, Trio, Way
 
 BOUND_S = Rig().model.cut_bound_s
 
--- a/tests/test_following.py
+++ b/tests/cluster/test_watch_health.py
@@ -8,13 +8,13 @@
 import msgspec
 import pytest
 
-from badgerseam.cluster.away import Away
-from badgerseam.cluster.following import BLIND_S, STEADY_S
+from badgerseam.cluster.availability import Away
+from badgerseam.cluster.watch_health import BLIND_S, STEADY_S
 from badgerseam.lab.services import WATCH
 from badgerseam.model.keys import LEADER_KEY, claim_key, node_key
 from badgerseam.settings import RolloutOptions, Tunables
 from badgerseam.wire import state as wire
-from tests.world import World, play
+from tests.support.simulated_site import World, play
 
 LONG, SHORT, NEW = "job-000001", "job-000002", "job-000003"
 LONG_S = 900.0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 
 from hypothesis import settings
 
-from tests.fake_time import Policy
+from tests.support.fake_time import Policy
 
 asyncio.set_event_loop_policy(Policy())
 # A deadline would judge how loaded the machine is.
--- a/tests/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -14,8 +14,8 @@
 from badgerseam.wire import explain
 from badgerseam.wire import state as wire
 from badgerseam.wire.explain import Blocked, CloudView, Code
-from tests.explained import Site, binding, codes, site
-from tests.stand_ins import silent
+from tests.support.explaining_controller import Site, binding, codes, site
+from tests.support.scripted_peers import silent
 
 Cause = Callable[[Site], Job]
 
--- a/tests/test_explain_answers.py
+++ b/tests/explain/test_explain_answers.py
@@ -8,8 +8,8 @@
 from badgerseam.http.server import Reply
 from badgerseam.wire import explain
 from badgerseam.wire.explain import Why
-from tests.explained import Site, binding, site
-from tests.test_api import api
+from tests.api.test_user_api import api
+from tests.support.explaining_controller import Site, binding, site
 
 
 def test_who_borrows_is_told_to_a_team_within_its_guarantee() -> None:
--- a/tests/test_meetings_handover.py
+++ b/tests/fault_interactions/test_cancel_during_handover.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from badgerseam.cluster.away import Away
+from badgerseam.cluster.availability import Away
 from badgerseam.lab.services import WATCH
 from badgerseam.settings import RolloutOptions, Tunables
-from tests.world import World, play
+from tests.support.simulated_site import World, play
 
 DOOMED = ["job-000001", "job-000002", "job-000003"]
 """Their tasks run when they are cancelled."""
--- a/tests/test_meetings_takeover.py
+++ b/tests/fault_interactions/test_failover.py
@@ -9,7 +9,7 @@
 
 from badgerseam.lab.machines import Machine
 from badgerseam.wire import workers as wire
-from tests.meetings import (
+from tests.support.fault_interactions import (
     AWAY_S,
     JOB,
     LONG_S,
@@ -27,7 +27,7 @@
     starts,
     taken,
 )
-from tests.world import World, play, played
+from tests.support.simulated_site import World, play, played
 
 __all__ = [
     "address",
--- a/tests/test_meetings_commands.py
+++ b/tests/fault_interactions/test_late_commands.py
@@ -9,14 +9,16 @@
 import msgspec
 import pytest
 
-from badgerseam.cluster.away import Away
+from badgerseam.cluster.availability import Away
 from badgerseam.http.server import Reply
 from badgerseam.lab.machines import Machine
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.settings import WorkerParams
 from badgerseam.wire import state as wire
 from badgerseam.wire import workers
-from tests.meetings import (
+from tests.fault_interactions.test_failover import part as out_of_reach
+from tests.fault_interactions.test_unreachable_machines import far_machine
+from tests.support.fault_interactions import (
     AWAY_S,
     CANCEL_S,
     JOB,
@@ -33,9 +35,7 @@
     starts,
     taken,
 )
-from tests.test_meetings_machines import far_machine
-from tests.test_meetings_takeover import part as out_of_reach
-from tests.world import SITE, World, play
+from tests.support.simulated_site import SITE, World, play
 
 LEASE_S = SITE.workers.lease_s
 PATIENT = msgspec.structs.replace(SITE, workers=WorkerParams(1.0, 14.0, 40.0))
--- a/tests/test_meetings_limits.py
+++ b/tests/fault_interactions/test_quota_limits.py
@@ -10,7 +10,8 @@
 
 from badgerseam.model.resources import Resources
 from badgerseam.sched import pts
-from tests.meetings import (
+from tests.sched.test_pts import INF, node, request, snapshot
+from tests.support.fault_interactions import (
     AWAY_S,
     JOB,
     LONG_S,
@@ -23,9 +24,8 @@
     spare,
     zone_of,
 )
-from tests.scenes import other_than
-from tests.test_pts import INF, node, request, snapshot
-from tests.world import World, played
+from tests.support.simulated_site import World, played
+from tests.support.write_scenarios import other_than
 
 TEAM = "teal"
 """Its limit holds three tasks that fill a machine each."""
--- a/tests/test_meetings_looks.py
+++ b/tests/fault_interactions/test_read_after_write.py
@@ -18,10 +18,10 @@
 from badgerseam.store.client import StateClient
 from badgerseam.wire import state as wire
 from badgerseam.wire.state import Condition
-from tests.stand_ins import FakeHttp, Rig, seeded, submission
-from tests.test_api import ask
-from tests.test_batch import Desk
-from tests.world import World, play
+from tests.api.test_user_api import ask
+from tests.batch.test_batch import Desk
+from tests.support.scripted_peers import FakeHttp, Rig, seeded, submission
+from tests.support.simulated_site import World, play
 
 JOB = "job-000001"
 PATH = f"/submissions/{JOB}"
--- a/tests/test_meetings_small_jobs.py
+++ b/tests/fault_interactions/test_small_jobs.py
@@ -17,7 +17,7 @@
 from badgerseam.model.keys import hire_key, job_key
 from badgerseam.settings import StateParams
 from badgerseam.wire import state as wire
-from tests.world import SITE, World, play
+from tests.support.simulated_site import SITE, World, play
 
 RUN_S = 3.0
 TEAMS = ("blue", "red", "teal")
--- a/tests/test_meetings_machines.py
+++ b/tests/fault_interactions/test_unreachable_machines.py
@@ -9,7 +9,7 @@
 import pytest
 
 from badgerseam.lab.machines import CONTROLLERS, zone_end
-from tests.meetings import (
+from tests.support.fault_interactions import (
     CANCEL_S,
     LEASE_S,
     SMALL,
@@ -22,7 +22,7 @@
     starts_on,
     zone_of,
 )
-from tests.world import World, play, played
+from tests.support.simulated_site import World, play, played
 
 WARM = "job-000001"
 JOB = "job-000002"
--- a/tests/test_meetings_users.py
+++ b/tests/fault_interactions/test_user_requests.py
@@ -8,12 +8,12 @@
 import msgspec
 import pytest
 
-from badgerseam.cluster.away import Away
+from badgerseam.cluster.availability import Away
 from badgerseam.model.keys import job_key
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig, submission
-from tests.test_api import ask
-from tests.world import World, played
+from tests.api.test_user_api import ask
+from tests.support.scripted_peers import Rig, submission
+from tests.support.simulated_site import World, played
 
 TASKS_S = 4.0
 
--- a/tests/test_boots.py
+++ b/tests/fleet/test_boot_times.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from badgerseam.fleet.boots import HOPED, NEVER, SPREAD, Boots
+from badgerseam.fleet.boot_times import HOPED, NEVER, SPREAD, Boots
 from badgerseam.model.machine import Machine
 from badgerseam.wire import state as wire
-from tests.stand_ins import TYPES, Rig, Worker
+from tests.support.scripted_peers import TYPES, Rig, Worker
 
 BOOT_S = 20.0
 
--- a/tests/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -12,9 +12,9 @@
 from badgerseam.fleet import policy
 from badgerseam.fleet.cloud import Cloud, CloudTrouble, NoCapacity
 from badgerseam.fleet.demand import Offer, options
+from badgerseam.fleet.evacuation import Vacancies
+from badgerseam.fleet.machine_transfer import DROP
 from badgerseam.fleet.manager import Fleet
-from badgerseam.fleet.returns import DROP
-from badgerseam.fleet.vacancies import Vacancies
 from badgerseam.http.client import NoResponse, Response
 from badgerseam.model.job import Stage
 from badgerseam.model.keys import hire_key
@@ -25,7 +25,7 @@
 from badgerseam.wire import cloud as cloud_wire
 from badgerseam.wire import state as wire
 from badgerseam.workers.draining import drain
-from tests.stand_ins import FakeHttp, Rig, Worker, seeded
+from tests.support.scripted_peers import FakeHttp, Rig, Worker, seeded
 
 ROOM = Resources(math.inf, math.inf, math.inf)
 TEAMS = {0: pts.TeamUse(NOTHING, ROOM, ROOM)}
--- a/tests/test_reconcile.py
+++ b/tests/lab/test_accounting_comparison.py
@@ -13,8 +13,8 @@
 from badgerseam.model.machine import BUMP_BITS
 from badgerseam.settings import AccountingOptions, Tunables
 from badgerseam.wire.accounting import Line, line, line_decoder, usage_of
-from tests.stand_ins import submission
-from tests.world import World, play
+from tests.support.scripted_peers import submission
+from tests.support.simulated_site import World, play
 
 Step = tuple[float, str, dict[str, Any]]
 
--- a/tests/test_lab_meetings.py
+++ b/tests/lab/test_fault_injection_on_site.py
@@ -7,17 +7,17 @@
 import pytest
 
 from badgerseam.http.client import NoResponse
-from badgerseam.lab.close_looks import ROUNDS
+from badgerseam.lab.adversarial_clients import ODD, Odd
 from badgerseam.lab.lab import LabError
 from badgerseam.lab.machines import Machine
-from badgerseam.lab.meddlers import ODD, Odd
+from badgerseam.lab.read_after_write import ROUNDS
 from badgerseam.model.job import Job
 from badgerseam.model.keys import LEADER_KEY, job_key
 from badgerseam.sched.planner import Planner
 from badgerseam.sched.snapshot import Request
 from badgerseam.wire import workers
-from tests.memory import Caller
-from tests.world import SITE, World, play, played
+from tests.support.memory_network import Caller
+from tests.support.simulated_site import SITE, World, play, played
 
 JOB, OTHER = "job-000001", "job-000002"
 LEASE_S = SITE.workers.lease_s
--- a/tests/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -20,7 +20,7 @@
 from badgerseam.lab.cloud import Busy, CloudCore, Full, Rented
 from badgerseam.lab.experiment import load_experiment
 from badgerseam.lab.fault import Fault
-from badgerseam.lab.faults import Breaker
+from badgerseam.lab.fault_injector import Breaker
 from badgerseam.lab.lab import Lab, LabError
 from badgerseam.lab.site import Site, load_site
 from badgerseam.lab.state import KEPT, Malformed, StateCore, TooMany
@@ -34,7 +34,7 @@
 from badgerseam.wire import state as wire
 from badgerseam.wire import workers as worker_wire
 from badgerseam.wire.cloud import MachineType
-from tests.stand_ins import FakeClock, submission
+from tests.support.scripted_peers import FakeClock, submission
 
 
 def put(key: str, lease: int | None = None) -> wire.Write:
--- a/tests/test_checker.py
+++ b/tests/lab/test_rule_checker.py
@@ -13,7 +13,7 @@
 from badgerseam.model.resources import Resources
 from badgerseam.settings import Team
 from badgerseam.wire import workers as wire
-from tests.histories import (
+from tests.support.lab_histories import (
     BEGIN,
     CANCEL_S,
     answer,
@@ -24,7 +24,7 @@
     on,
     submit,
 )
-from tests.stand_ins import FakeClock
+from tests.support.scripted_peers import FakeClock
 
 
 def test_a_history_without_fault() -> None:
--- a/tests/test_checker_waiting.py
+++ b/tests/lab/test_rule_checker_waiting.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from tests.histories import (
+from tests.support.lab_histories import (
     answer,
     full,
     judged,
@@ -17,7 +17,7 @@
     up,
     waiting,
 )
-from tests.stand_ins import submission
+from tests.support.scripted_peers import submission
 
 LEFT = ["job-000001"]
 
--- a/tests/test_served.py
+++ b/tests/lab/test_served.py
@@ -12,7 +12,7 @@
 from badgerseam.lab.history import Event
 from badgerseam.lab.served import Served
 from badgerseam.settings import Team
-from tests.stand_ins import submission
+from tests.support.scripted_peers import submission
 
 Step = tuple[float, str, dict[str, Any]]
 END: Step = (600.0, "note", {})
--- a/tests/test_forgotten.py
+++ b/tests/model/test_job_retention.py
@@ -12,10 +12,10 @@
 from badgerseam.http.client import Client, NoResponse, Response
 from badgerseam.settings import StateParams
 from badgerseam.store.client import StateClient, Unavailable
-from badgerseam.store.replica import Replica
+from badgerseam.store.state_watcher import Replica
 from badgerseam.wire import state as wire
-from tests.stand_ins import FakeHttp, FakeState, Rig, drive, seeded, submission
-from tests.test_api import ask, encoded
+from tests.api.test_user_api import ask, encoded
+from tests.support.scripted_peers import FakeHttp, FakeState, Rig, drive, seeded, submission
 
 
 def test_a_comparison_that_fails_in_an_unforeseen_way_holds_up_no_later_poll() -> None:
--- a/tests/test_quota.py
+++ b/tests/model/test_quota.py
@@ -11,8 +11,8 @@
 from badgerseam.sched import pts
 from badgerseam.settings import Team
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig, Worker, submission, verbs
-from tests.test_pts import INF, node, request, snapshot, victim
+from tests.sched.test_pts import INF, node, request, snapshot, victim
+from tests.support.scripted_peers import Rig, Worker, submission, verbs
 
 JOB, NEXT = "job-000001", "job-000002"
 NO_GUARANTEE = NOTHING
--- a/tests/test_quota_stories.py
+++ b/tests/model/test_quota_random.py
@@ -15,7 +15,7 @@
 from badgerseam.lab.site import Site
 from badgerseam.settings import StateParams, Team, WorkerParams
 from badgerseam.wire.cloud import MachineType
-from tests.world import World, play
+from tests.support.simulated_site import World, play
 
 LIMITED = Site(
     teams=[Team("blue", 6, 18), Team("red", 6, 14), Team("teal", 0, 10)],
--- a/tests/test_replicas.py
+++ b/tests/replicas/test_replicas.py
@@ -13,13 +13,13 @@
 from badgerseam.model.machine import Machine
 from badgerseam.model.resources import NOTHING
 from badgerseam.options.replicas import ReplicaClass, ReplicasOptions
-from badgerseam.replicas.keeper import Keeper
 from badgerseam.replicas.phases import Bounds, Intent, Seen, Step, decide
+from badgerseam.replicas.reconciler import Keeper
 from badgerseam.sched.diagnosis import survey
 from badgerseam.settings import Team
 from badgerseam.wire import state as wire
 from badgerseam.workers.draining import drain
-from tests.stand_ins import Rig, Worker
+from tests.support.scripted_peers import Rig, Worker
 
 TWO = ReplicasOptions({"chat": ReplicaClass(tasks=2, machines_least=2, degraded_s=30.0)})
 
--- a/tests/test_replicas_failover.py
+++ b/tests/replicas/test_replicas_failover.py
@@ -14,12 +14,12 @@
 from badgerseam.model.job import Job
 from badgerseam.model.keys import LEVEL_KEY, group_key
 from badgerseam.options.replicas import ReplicaClass, ReplicasOptions
-from badgerseam.replicas.keeper import LAZY_S, Keeper
 from badgerseam.replicas.phases import Step
+from badgerseam.replicas.reconciler import LAZY_S, Keeper
 from badgerseam.wire import state as wire
 from badgerseam.workers.draining import drain
-from tests.stand_ins import Worker, submission
-from tests.trio import Controller, Trio, Way
+from tests.support.scripted_peers import Worker, submission
+from tests.support.three_controllers import Controller, Trio, Way
 
 OPTIONS = ReplicasOptions(
     {"chat": ReplicaClass(tasks=2, machines_least=2, form_s=30.0, degraded_s=6.0)}
--- a/tests/test_replicas_placement.py
+++ b/tests/replicas/test_replicas_placement.py
@@ -12,13 +12,13 @@
 from badgerseam.options.replicas import ReplicaClass, ReplicasOptions, check
 from badgerseam.replicas.shapes import unfit
 from badgerseam.sched import pts
+from badgerseam.sched.gang_placement import Room, choose
 from badgerseam.sched.snapshot import Span
-from badgerseam.sched.spans import Room, choose
 from badgerseam.settings import SettingsError, Tunables, check_tunables
 from badgerseam.wire.cloud import MachineType
-from tests.stand_ins import TYPES, Rig, Worker, submission
-from tests.test_pts import node, request, snapshot, victim
-from tests.test_replicas import TWO, Site
+from tests.replicas.test_replicas import TWO, Site
+from tests.sched.test_pts import node, request, snapshot, victim
+from tests.support.scripted_peers import TYPES, Rig, Worker, submission
 
 # ---- what is declared ----
 
--- a/tests/test_level_writes.py
+++ b/tests/rollout/test_level_writes.py
@@ -14,7 +14,7 @@
 from badgerseam.model.keys import LEVEL_KEY, page_key
 from badgerseam.store.committer import Rejected, Urgency
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig
+from tests.support.scripted_peers import Rig
 
 # ---- fencing ----
 
--- a/tests/test_carrying.py
+++ b/tests/rollout/test_migration.py
@@ -14,7 +14,7 @@
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY
 from badgerseam.store.client import Refused
 from badgerseam.wire import state as wire
-from tests.trio import BOTH, Controller, Trio, played, settled
+from tests.support.three_controllers import BOTH, Controller, Trio, played, settled
 
 PREFIX = "bs/x/"
 THIRD = Level(3, "objects for arrays", lowers=False)
--- a/tests/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -6,12 +6,12 @@
 import pytest
 
 from badgerseam.api.users import Api
-from badgerseam.cluster.away import Away
+from badgerseam.cluster.availability import Away
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY, claim_key, job_key, node_key, page_key
 from badgerseam.store.client import Refused
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig, Worker, submission
-from tests.trio import (
+from tests.support.scripted_peers import Rig, Worker, submission
+from tests.support.three_controllers import (
     BOTH,
     FIRST_ONLY,
     STARTS,
--- a/tests/test_runs_record.py
+++ b/tests/runs/test_run_records.py
@@ -17,8 +17,8 @@
 from badgerseam.store.client import Refused, Unavailable
 from badgerseam.wire import runs as wire_runs
 from badgerseam.wire import state as wire
-from tests.stand_ins import submission
-from tests.test_runs import Night
+from tests.runs.test_runs import Night
+from tests.support.scripted_peers import submission
 
 
 def test_two_leaders_and_late_writes_open_and_close_a_run_once() -> None:
--- a/tests/test_runs.py
+++ b/tests/runs/test_runs.py
@@ -13,18 +13,18 @@
 import pytest
 
 from badgerseam.api.runs import RunsApi
+from badgerseam.controller import Node
 from badgerseam.explain.explainer import Explainer
 from badgerseam.model.job import Job, Stage
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY
-from badgerseam.node import Node
 from badgerseam.options import runs as options
-from badgerseam.runs.book import Book, Standing
-from badgerseam.runs.keeper import Keeper
 from badgerseam.runs.rules import RunRules
+from badgerseam.runs.run_index import Book, Standing
+from badgerseam.runs.run_lifecycle import Keeper
 from badgerseam.runs.windows import Slot, due
 from badgerseam.settings import ExplainOptions, SettingsError, Tunables, load_tunables
 from badgerseam.wire import state as wire
-from tests.stand_ins import FakeClock, Rig, Worker, settings
+from tests.support.scripted_peers import FakeClock, Rig, Worker, settings
 
 ZONE = ZoneInfo("Europe/Zurich")
 
--- a/tests/test_runs_failover.py
+++ b/tests/runs/test_runs_failover.py
@@ -17,13 +17,13 @@
 from badgerseam.model.model import Model
 from badgerseam.model.resources import Resources
 from badgerseam.options import runs as options
-from badgerseam.runs.book import Book, Standing
-from badgerseam.runs.keeper import LOOK_S, Keeper
 from badgerseam.runs.rules import RunRules
+from badgerseam.runs.run_index import Book, Standing
+from badgerseam.runs.run_lifecycle import LOOK_S, Keeper
 from badgerseam.wire import state as wire
 from badgerseam.wire import workers as worker_wire
-from tests.stand_ins import settings, submission
-from tests.trio import Controller, Trio, Way, played_by
+from tests.support.scripted_peers import settings, submission
+from tests.support.three_controllers import Controller, Trio, Way, played_by
 
 MOST = 8
 PLAN = msgspec.convert(
--- a/tests/test_ageing.py
+++ b/tests/sched/test_aging.py
@@ -6,7 +6,7 @@
 
 from badgerseam.model.job import Job
 from badgerseam.sched.planner import FRONT_CREDIT, GATHER_S
-from tests.stand_ins import Rig
+from tests.support.scripted_peers import Rig
 
 
 def _rig(machines: int = 2) -> Rig:
--- a/tests/test_diagnosis.py
+++ b/tests/sched/test_diagnosis.py
@@ -9,9 +9,9 @@
 
 from badgerseam.model.resources import NOTHING, Resources
 from badgerseam.sched import pts
-from badgerseam.sched.bench import Bar, Bars, Bench
 from badgerseam.sched.diagnosis import Finding, survey
-from tests.test_pts import node, request, snapshot, victim
+from badgerseam.sched.tentative_state import Bar, Bars, Bench
+from tests.sched.test_pts import node, request, snapshot, victim
 
 INF = float("inf")
 
--- a/tests/test_pts.py
+++ b/tests/sched/test_pts.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from badgerseam.model.resources import NOTHING, Resources
-from badgerseam.sched import bench as bench_of
 from badgerseam.sched import pts
+from badgerseam.sched import tentative_state as bench_of
 
 INF = float("inf")
 
--- a/tests/test_standby_gate.py
+++ b/tests/standby/test_takeover_gate.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from badgerseam.cluster.away import Away
+from badgerseam.cluster.availability import Away
 from badgerseam.http.client import NoResponse
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY, claim_key
 from badgerseam.options.standby import StandbyOptions
-from badgerseam.standby.gate import BAR_S, Gate
-from badgerseam.standby.keeper import Standby
+from badgerseam.standby.takeover_gate import BAR_S, Gate
+from badgerseam.standby.warm_standby import Standby
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig
+from tests.support.scripted_peers import Rig
 
 LIMIT_S = StandbyOptions().gate_s
 
--- a/tests/test_standby.py
+++ b/tests/standby/test_warm_standby.py
@@ -17,14 +17,14 @@
 from badgerseam.levels.table import Program
 from badgerseam.model.keys import LEADER_KEY, claim_key, deputy_key
 from badgerseam.options.standby import StandbyOptions
-from badgerseam.standby.keeper import Standby
-from badgerseam.standby.watch import HOLD_S
+from badgerseam.standby.failure_detector import HOLD_S
+from badgerseam.standby.warm_standby import Standby
 from badgerseam.store.client import Unavailable
 from badgerseam.wire import standby as wire
 from badgerseam.wire import state as wire_state
-from tests.stand_ins import Rig
-from tests.stories import as_test
-from tests.trio import BOTH, STEP_S, TTL_S, Controller, Trio, Way
+from tests.support.coroutine_tests import as_test
+from tests.support.scripted_peers import Rig
+from tests.support.three_controllers import BOTH, STEP_S, TTL_S, Controller, Trio, Way
 
 P = ParamSpec("P")
 Check = Callable[["Site"], Coroutine[None, None, None]]
--- a/tests/test_late_writes.py
+++ b/tests/store/test_late_writes.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from badgerseam.cluster.away import Away
+from badgerseam.cluster.availability import Away
 from badgerseam.fleet.demand import Offer
 from badgerseam.fleet.manager import Fleet
 from badgerseam.model.job import Stage
@@ -24,9 +24,9 @@
 from badgerseam.model.model import Model
 from badgerseam.store.client import Unavailable
 from badgerseam.wire import state as wire
-from tests.stand_ins import FakeHttp, Rig, Worker, rig_with_machine, submission
-from tests.test_fleet import fleet, reply
-from tests.world import World, played
+from tests.fleet.test_fleet import fleet, reply
+from tests.support.scripted_peers import FakeHttp, Rig, Worker, rig_with_machine, submission
+from tests.support.simulated_site import World, played
 
 
 async def turns(count: int = 20) -> None:
--- a/tests/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -14,7 +14,7 @@
 from badgerseam.store.committer import Committer, Urgency
 from badgerseam.wire import state as wire
 from badgerseam.wire.state import Write
-from tests.stand_ins import (
+from tests.support.scripted_peers import (
     TYPES,
     FakeClock,
     FakeState,
--- a/tests/test_notes.py
+++ b/tests/store/test_notes.py
@@ -6,7 +6,7 @@
 
 from badgerseam.model.keys import LEVEL_KEY, page_key
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig
+from tests.support.scripted_peers import Rig
 
 LEVEL = 3
 
--- a/tests/test_allotment.py
+++ b/tests/store/test_write_rate.py
@@ -9,8 +9,8 @@
 
 from badgerseam.http.budget import Budget
 from badgerseam.model.keys import node_key
-from badgerseam.store.allotment import ABSENT, FLOOR, Allotment, part
-from tests.stand_ins import Rig
+from badgerseam.store.write_rate import ABSENT, FLOOR, Allotment, part
+from tests.support.scripted_peers import Rig
 
 needs = st.lists(
     st.one_of(st.floats(FLOOR, 3.0), st.just(math.inf), st.just(ABSENT)), min_size=1, max_size=5
--- a/tests/test_patience.py
+++ b/tests/store/test_write_urgency.py
@@ -11,7 +11,7 @@
 from badgerseam.store.ledger import END_S
 from badgerseam.wire import state as wire
 from badgerseam.wire.state import Write
-from tests.stand_ins import Rig
+from tests.support.scripted_peers import Rig
 
 
 def put(key: str) -> list[Write]:
--- a/tests/offices.py
+++ b/tests/support/accounting_controller.py
@@ -9,7 +9,7 @@
 from badgerseam.model.machine import Machine
 from badgerseam.wire import state as wire
 from badgerseam.wire.accounting import Line
-from tests.stand_ins import Rig, Worker
+from tests.support.scripted_peers import Rig, Worker
 
 
 class Office(Rig):
--- a/tests/explained.py
+++ b/tests/support/explaining_controller.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from badgerseam.api.questions import Questions
+from badgerseam.api.explain import Questions
 from badgerseam.explain.explainer import Explainer
 from badgerseam.model.job import Job, Stage
 from badgerseam.model.keys import group_key
 from badgerseam.settings import ExplainOptions
 from badgerseam.wire import explain
 from badgerseam.wire.explain import CloudView, Code, Why
-from tests.stand_ins import Rig, Worker
+from tests.support.scripted_peers import Rig, Worker
 
 
 class Site(Rig):
--- a/tests/histories.py
+++ b/tests/support/lab_histories.py
@@ -10,7 +10,7 @@
 from badgerseam.lab.history import Event
 from badgerseam.settings import Team
 from badgerseam.wire.cloud import MachineType
-from tests.stand_ins import submission
+from tests.support.scripted_peers import submission
 
 CANCEL_S = 30.0
 
--- a/tests/roads.py
+++ b/tests/support/lossy_workers.py
@@ -10,7 +10,7 @@
 from badgerseam.http.server import Reply
 from badgerseam.model.machine import Machine
 from badgerseam.wire import workers as wire
-from tests.stand_ins import FakeHttp, Rig, Worker
+from tests.support.scripted_peers import FakeHttp, Rig, Worker
 
 STEP_S = 0.25
 RESET_S = 1.25
--- a/tests/stand_ins.py
+++ b/tests/support/scripted_peers.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from badgerseam.cluster.deputies import Deputies
-from badgerseam.cluster.member import Member
-from badgerseam.fleet.returns import Returns
+from badgerseam.cluster.heartbeat_proxy import Deputies
+from badgerseam.cluster.membership import Member
+from badgerseam.fleet.machine_transfer import Returns
 from badgerseam.http.budget import Budget
 from badgerseam.http.client import NoResponse, NotSent, Response
 from badgerseam.lab import state as lab_state
@@ -38,13 +38,13 @@
 from badgerseam.store.client import Malformed, Refused, Unavailable, Unknown
 from badgerseam.store.committer import Committer
 from badgerseam.store.ledger import Ledger
-from badgerseam.store.roster import Roster
+from badgerseam.store.machine_records import Roster
 from badgerseam.wire import state as wire
 from badgerseam.wire import workers as worker_wire
 from badgerseam.wire.users import Submission
-from badgerseam.workers.control import Control
-from tests.fake_time import FakeClock as FakeClock
-from tests.fake_time import drive as drive
+from badgerseam.workers.worker_manager import Control
+from tests.support.fake_time import FakeClock as FakeClock
+from tests.support.fake_time import drive as drive
 
 T = TypeVar("T")
 
--- a/tests/world.py
+++ b/tests/support/simulated_site.py
@@ -20,28 +20,28 @@
 
 from badgerseam.background import BackgroundTasks
 from badgerseam.clock import Clock
+from badgerseam.controller import Node
 from badgerseam.http.client import NoResponse, Reset
 from badgerseam.http.server import Reply
 from badgerseam.lab.checker import Breach
 from badgerseam.lab.controllers import BACK_S
 from badgerseam.lab.fault import Fault
-from badgerseam.lab.faults import Breaker
-from badgerseam.lab.front import FINAL, Truth
+from badgerseam.lab.fault_injector import Breaker
 from badgerseam.lab.history import History
 from badgerseam.lab.lab import Lab
 from badgerseam.lab.load import PATIENCE_S
+from badgerseam.lab.load_balancer import FINAL, Truth
 from badgerseam.lab.machines import Machine, zone_end
 from badgerseam.lab.site import Ports, Site
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.model import Model
-from badgerseam.node import Node
 from badgerseam.settings import Settings, StateParams, Team, Tunables, WorkerParams
 from badgerseam.wire.cloud import MachineType
-from tests.fake_time import running_clock
-from tests.memory import Caller, Host, Memory, note_task, process
-from tests.stand_ins import submission
-from tests.stories import as_test
-from tests.trio import holder_of
+from tests.support.coroutine_tests import as_test
+from tests.support.fake_time import running_clock
+from tests.support.memory_network import Caller, Host, Memory, note_task, process
+from tests.support.scripted_peers import submission
+from tests.support.three_controllers import holder_of
 
 P = ParamSpec("P")
 
--- a/tests/test_fake_time.py
+++ b/tests/support/test_fake_time.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.fake_time import FakeClock, drive, running_clock
+from tests.support.fake_time import FakeClock, drive, running_clock
 
 
 def test_timers_and_the_clock_agree_and_nothing_is_waited_for() -> None:
--- a/tests/test_world.py
+++ b/tests/support/test_simulated_site.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tests.trio import Trio, played_by
-from tests.world import World, played
+from tests.support.simulated_site import World, played
+from tests.support.three_controllers import Trio, played_by
 
 
 @played
--- a/tests/trio.py
+++ b/tests/support/three_controllers.py
@@ -13,22 +13,22 @@
 
 import msgspec
 
-from badgerseam.cluster.away import Away
+from badgerseam.cluster.availability import Away
 from badgerseam.lab.state import StateCore
 from badgerseam.levels.table import LEVELS, Behaviour, Level, Program
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY, claim_key
-from badgerseam.rollout.carrying import PAUSE_S as CARRY_S
-from badgerseam.rollout.carrying import Carrying, Form
 from badgerseam.rollout.handover import Handover
-from badgerseam.rollout.raising import Raising
-from badgerseam.rollout.refresh import Refresh
+from badgerseam.rollout.level_upgrade import Raising
+from badgerseam.rollout.migration import PAUSE_S as CARRY_S
+from badgerseam.rollout.migration import Carrying, Form
+from badgerseam.rollout.page_refresh import Refresh
 from badgerseam.settings import RolloutOptions
 from badgerseam.store.client import LeaseLost, Unavailable
-from badgerseam.store.replica import Replica
+from badgerseam.store.state_watcher import Replica
 from badgerseam.wire import state as wire
-from tests.fake_time import running_clock
-from tests.stand_ins import TYPES, ZONES, FakeState, Rig, settings
-from tests.stories import as_test
+from tests.support.coroutine_tests import as_test
+from tests.support.fake_time import running_clock
+from tests.support.scripted_peers import TYPES, ZONES, FakeState, Rig, settings
 
 P = ParamSpec("P")
 T = TypeVar("T", bound="Trio")
--- a/tests/scenes.py
+++ b/tests/support/write_scenarios.py
@@ -28,7 +28,7 @@
 from badgerseam.settings import RolloutOptions, Tunables
 from badgerseam.wire import state as wire
 from badgerseam.wire.cloud import Rent
-from tests.world import World
+from tests.support.simulated_site import World
 
 JOB, OTHER, SPARE = "job-000001", "job-000002", "job-000003"
 LOST_S = 5.0
--- a/tests/test_obeying.py
+++ b/tests/workers/test_command_acks.py
@@ -9,8 +9,8 @@
 from badgerseam.http.client import Response
 from badgerseam.model.job import IDLE, Phase, Stage
 from badgerseam.model.machine import BUMP_BITS
-from tests.roads import RESET_S, WALK_S, Field
-from tests.stand_ins import Rig, Worker, rig_with_machine, silent
+from tests.support.lossy_workers import RESET_S, WALK_S, Field
+from tests.support.scripted_peers import Rig, Worker, rig_with_machine, silent
 
 TASK = "job-000001/0"
 NAMES = [f"m-{number}" for number in range(1, 7)]
--- a/tests/test_blame.py
+++ b/tests/workers/test_fault_attribution.py
@@ -7,7 +7,7 @@
 
 from badgerseam.model.job import MOST_PAUSE_S, Job
 from badgerseam.settings import Team
-from tests.stand_ins import Rig, Worker
+from tests.support.scripted_peers import Rig, Worker
 
 NAMES = [f"m-{number}" for number in range(5)]
 
--- a/tests/test_fencing.py
+++ b/tests/workers/test_fencing.py
@@ -13,7 +13,15 @@
 from badgerseam.model.machine import Machine
 from badgerseam.wire import state as wire
 from badgerseam.wire.workers import TaskReport
-from tests.stand_ins import Rig, Worker, refused, rig_with_machine, silent, submission, verbs
+from tests.support.scripted_peers import (
+    Rig,
+    Worker,
+    refused,
+    rig_with_machine,
+    silent,
+    submission,
+    verbs,
+)
 
 TASK = "job-000001/0"
 
--- a/tests/test_hearing.py
+++ b/tests/workers/test_heartbeat_reception.py
@@ -7,7 +7,7 @@
 
 from badgerseam.model.keys import claim_key, node_key
 from badgerseam.wire import state as wire
-from tests.stand_ins import Rig, Worker, silent
+from tests.support.scripted_peers import Rig, Worker, silent
 
 STEP_S = 0.2
 
--- a/tests/test_copies.py
+++ b/tests/workers/test_late_heartbeats.py
@@ -16,8 +16,8 @@
 from badgerseam.model.machine import Machine
 from badgerseam.model.resources import NOTHING
 from badgerseam.wire import state as wire
-from tests.roads import Field, Seat
-from tests.stand_ins import Rig, Worker, rig_with_machine, silent, submission
+from tests.support.lossy_workers import Field, Seat
+from tests.support.scripted_peers import Rig, Worker, rig_with_machine, silent, submission
 
 TASK = "job-000001/0"
 
