--- a/badgerseam/accounting/attempt_ends.py
+++ b/badgerseam/accounting/attempt_ends.py
@@ -23,7 +23,7 @@
         return "cancelled"
     if attempt.cost is not None:
         return "evicted"
-    if machine.recall_at is not None:
+    if machine.reclaim_at is not None:
         return "taken"
     if machine.draining and attempt.stopping:
         return "drained"
--- a/badgerseam/accounting/attempts.py
+++ b/badgerseam/accounting/attempts.py
@@ -21,24 +21,24 @@
 from badgerseam.background import BackgroundTasks
 from badgerseam.model.model import Model
 from badgerseam.settings import AccountingOptions
-from badgerseam.store.client import Refused, StateClient, Unavailable
-from badgerseam.store.committer import Committer, Dropped, Urgency
+from badgerseam.store.client import ConditionFailedError, StateClient, StateUnavailableError
+from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
 from badgerseam.wire.accounting import AttemptRecord
 
 log = logging.getLogger("badgerseam.accounting")
 
 PREFIX = "ba/"
-MOST_WAITING = 20_000
+MAX_WAITING_RECORDS = 20_000
 """Records of a share that wait for their write; what comes beyond is given up, and counted. (The
 oldest may be on their way.)"""
-FILL = 0.9
-MOST_RECORDS = 400
-BYTES = 48
+FILL_FRACTION = 0.9
+MAX_RECORDS_PER_VALUE = 400
+RECORD_BYTES = 48
 """What a record takes, roughly, when it is packed; the size is checked before it is written."""
-MOST_PAGES = 20
+MAX_PAGES_READ = 20
 TRIM_ROUNDS = 60
-MOST_TRIMMED = 10
+MAX_KEYS_TRIMMED = 10
 LATE_S = 120.0
 """How long after its end an attempt's record may be written and still be found by its time."""
 
@@ -59,9 +59,9 @@
         raise ValueError(str(error)) from error
 
 
-def log_key(share: int, at: float, node: str, serial: int) -> str:
+def log_key(shard: int, at: float, node: str, serial: int) -> str:
     """A key that sorts by time, and that no other controller or write has."""
-    return f"{PREFIX}{share}/{round(at * 1000):015d}-{node}-{serial}"
+    return f"{PREFIX}{shard}/{round(at * 1000):015d}-{node}-{serial}"
 
 
 class AttemptLog:
@@ -71,7 +71,7 @@
         self,
         model: Model,
         state: StateClient,
-        committer: Committer,
+        committer: GroupCommitter,
         options: AccountingOptions,
         node: Callable[[], str],
     ) -> None:
@@ -80,7 +80,7 @@
         self._committer = committer
         self._options = options
         self._node = node
-        self._waiting: list[deque[AttemptRecord]] = [deque() for _ in model.shares]
+        self._waiting: list[deque[AttemptRecord]] = [deque() for _ in model.shards]
         self._writing: set[int] = set()
         self._serial = 0
         self.given_up = 0
@@ -89,10 +89,10 @@
     def __len__(self) -> int:
         return sum(map(len, self._waiting))
 
-    def add(self, share: int, record: AttemptRecord) -> None:
+    def add(self, shard: int, record: AttemptRecord) -> None:
         """An attempt has ended."""
-        queue = self._waiting[share]
-        if len(queue) >= MOST_WAITING:
+        queue = self._waiting[shard]
+        if len(queue) >= MAX_WAITING_RECORDS:
             self.given_up += 1
         else:
             queue.append(record)
@@ -111,35 +111,35 @@
 
     def flush(self) -> None:
         """Start the writes that are due, one a share at a time."""
-        for share, queue in enumerate(self._waiting):
-            if queue and share not in self._writing:
-                self._writing.add(share)
-                self._tasks.spawn(self._write(share))
+        for shard, queue in enumerate(self._waiting):
+            if queue and shard not in self._writing:
+                self._writing.add(shard)
+                self._tasks.spawn(self._write(shard))
 
-    async def _write(self, share: int) -> None:
-        queue = self._waiting[share]
+    async def _write(self, shard: int) -> None:
+        queue = self._waiting[shard]
         try:
             while queue:
                 records, text = self._take(queue)
                 self._serial += 1
-                key = log_key(share, self._model.clock.wall(), self._node(), self._serial)
+                key = log_key(shard, self._model.clock.wall(), self._node(), self._serial)
                 write = wire.Write(put=key, value=wire.raw(text))
                 try:
                     await self._committer.commit(Urgency.UPKEEP, {key: 0}, [write])
-                except Refused:
+                except ConditionFailedError:
                     # Nobody else has this key: an earlier sending was applied.
                     log.debug("%s is there already", key)
                 for _ in records:
                     queue.popleft()
-        except (Unavailable, Dropped):
-            log.debug("share %d: %d attempts not logged yet", share, len(queue))
+        except (StateUnavailableError, ProposalDroppedError):
+            log.debug("share %d: %d attempts not logged yet", shard, len(queue))
         finally:
-            self._writing.discard(share)
+            self._writing.discard(shard)
 
     def _take(self, queue: deque[AttemptRecord]) -> tuple[list[AttemptRecord], str]:
         """The oldest records that fit into one value; they stay queued until it is written."""
-        limit = int(self._state.params.value_kb * 1024 * FILL)
-        count = min(len(queue), MOST_RECORDS, max(1, limit // BYTES))
+        limit = int(self._state.params.value_kb * 1024 * FILL_FRACTION)
+        count = min(len(queue), MAX_RECORDS_PER_VALUE, max(1, limit // RECORD_BYTES))
         while True:
             records = [queue[place] for place in range(count)]
             text = pack(records)
@@ -150,32 +150,32 @@
     async def trim(self) -> None:
         """Delete what is older than is to be kept, a little at a time, of owned shares."""
         oldest = self._model.clock.wall() - self._options.log_days * 86400
-        for share in self._model.shares:
-            if not share.owned:
+        for shard in self._model.shards:
+            if not shard.owned:
                 continue
-            prefix = f"{PREFIX}{share.index}/"
+            prefix = f"{PREFIX}{shard.index}/"
             try:
                 page = await self._state.page(prefix, None)
-                end = log_key(share.index, oldest, "", 0)
-                old = [entry for entry in page.items if entry.key < end][:MOST_TRIMMED]
+                end = log_key(shard.index, oldest, "", 0)
+                old = [entry for entry in page.items if entry.key < end][:MAX_KEYS_TRIMMED]
                 if old:
                     await self._committer.commit(
                         Urgency.UPKEEP, {}, [wire.Write(delete=entry.key) for entry in old], 5.0
                     )
-            except (Refused, Unavailable, Dropped) as error:
-                log.debug("share %d: not trimmed: %s", share.index, error)
+            except (ConditionFailedError, StateUnavailableError, ProposalDroppedError) as error:
+                log.debug("share %d: not trimmed: %s", shard.index, error)
 
     # ---- reading ----
 
     async def read(
-        self, share: int, job: str, since: float, until: float
+        self, shard: int, job: str, since: float, until: float
     ) -> tuple[list[AttemptRecord], bool]:
         """The attempts of a job whose records were written between two times of day, each once;
         and whether all of that time could be looked at. Unavailable if the service cannot be
         asked."""
-        prefix = f"{PREFIX}{share}/"
-        after = log_key(share, max(0.0, since), "", 0)
-        end = log_key(share, until + LATE_S, "~", 0)
+        prefix = f"{PREFIX}{shard}/"
+        after = log_key(shard, max(0.0, since), "", 0)
+        end = log_key(shard, until + LATE_S, "~", 0)
         found: dict[tuple[int, int], AttemptRecord] = {}
 
         def take(record: AttemptRecord) -> None:
@@ -186,10 +186,10 @@
             if known is None or (known.seconds is None and record.seconds is not None):
                 found[key] = record
 
-        for record in self._waiting[share]:
+        for record in self._waiting[shard]:
             take(record)
         whole = False
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES_READ):
             page = await self._state.page(prefix, after)
             for entry in page.items:
                 if entry.key <= end:
--- a/badgerseam/api/accounting.py
+++ b/badgerseam/api/accounting.py
@@ -5,17 +5,17 @@
 from urllib.parse import parse_qsl
 
 from badgerseam.accounting.attempts import AttemptLog
-from badgerseam.accounting.job_history import Book
-from badgerseam.api.lists import BadQuery, lines_reply, read_filters
-from badgerseam.http.budget import Budget
+from badgerseam.accounting.job_history import JobHistory
+from badgerseam.api.lists import BadQueryError, lines_reply, read_filters
+from badgerseam.http.budget import RateBudget
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.model import Model
-from badgerseam.wire.accounting import AttemptsEnd, Line, attempt_line, encode
+from badgerseam.wire.accounting import AccountingLine, AttemptsEnd, attempt_line, encode
 
 ACCOUNTING = "/accounting"
 ATTEMPTS_PER_S = 2.0
 """Each reads pages of the log from the state service, whose requests others need as well."""
-MOST_LOOKED = 2000
+MAX_JOBS_SCANNED = 2000
 """Jobs looked at for one answer; the last line then says where to go on."""
 FILTERS = ("job", "team", "class", "user", "name", "state", "since", "until", "limit", "after")
 
@@ -23,11 +23,11 @@
 class AccountingApi:
     """Lists and totals, from any controller."""
 
-    def __init__(self, model: Model, book: Book, attempts: AttemptLog | None = None) -> None:
+    def __init__(self, model: Model, book: JobHistory, attempts: AttemptLog | None = None) -> None:
         self._model = model
         self._book = book
         self._attempts = attempts
-        self._door = Budget(model.clock, ATTEMPTS_PER_S, 3.0)
+        self._door = RateBudget(model.clock, ATTEMPTS_PER_S, 3.0)
 
     async def attempts(self, query: str) -> Reply:
         """The attempts of one job, a line each, and a last line that counts them."""
@@ -44,15 +44,15 @@
                 count = ended.attempts
             elif job is not None:
                 team, since, until = job.spec.team, job.submitted, self._model.clock.wall()
-                count = 0 if job.meter is None else job.meter.before + job.meter.placed
+                count = 0 if job.meter is None else job.meter.unmeasured_before + job.meter.placed
             else:
                 return error_reply(404, "no such job in the accounts")
             index = self._model.team_index.get(team)
-            share = None if index is None else self._model.teams[index].share
-        if share is None:
+            shard = None if index is None else self._model.teams[index].shard
+        if shard is None:
             return error_reply(404, "its team is not among the settings any more")
         bound = self._model.settings.params.time_bound_ms / 1000
-        found, whole = await self._attempts.read(share, job_id, since - bound, until + bound)
+        found, whole = await self._attempts.read(shard, job_id, since - bound, until + bound)
         lines = [encode(attempt_line(record)) for record in found]
         return lines_reply([*lines, encode(AttemptsEnd(len(found), count, whole))])
 
@@ -67,7 +67,7 @@
         try:
             filters, limit = read_filters(query, FILTERS)
             since, until = _times(filters)
-        except BadQuery as bad:
+        except BadQueryError as bad:
             return bad.reply
         found: list[bytes] = []
         more: str | None = None
@@ -80,7 +80,7 @@
             for looked, entry in enumerate(lines, 1):
                 if since <= entry.ended_at <= until and _matches(entry, filters):
                     found.append(encode(entry))
-                if len(found) >= limit or looked >= MOST_LOOKED:
+                if len(found) >= limit or looked >= MAX_JOBS_SCANNED:
                     more = entry.id
                     break
         if more is not None:
@@ -92,10 +92,10 @@
     try:
         return float(filters.get("since", "0")), float(filters.get("until", "inf"))
     except ValueError as error:
-        raise BadQuery("since, until: seconds since 1970") from error
+        raise BadQueryError("since, until: seconds since 1970") from error
 
 
-def _matches(entry: Line, filters: dict[str, str]) -> bool:
+def _matches(entry: AccountingLine, filters: dict[str, str]) -> bool:
     return (
         filters.get("team", entry.team) == entry.team
         and filters.get("class", entry.job_class) == entry.job_class
--- a/badgerseam/api/batch.py
+++ b/badgerseam/api/batch.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from badgerseam.batch.numbers import Numbers
+from badgerseam.batch.numbers import JobNumbers
 from badgerseam.batch.terms import TermsError, TermsRules
-from badgerseam.http.budget import Budget
+from badgerseam.http.budget import RateBudget
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.job import Job, Phase
 from badgerseam.model.machine import Machine
@@ -22,8 +22,8 @@
 
 NUMBERS = "/numbers"
 MACHINES = "/machines"
-MOST_NAMES = 20
-PHASES = {Phase.OPEN: "open", Phase.DONE: "done", Phase.WITHDRAWN: "withdrawn"}
+MAX_NAMES = 20
+PHASES = {Phase.OPEN: "open", Phase.DONE: "done", Phase.CANCELLED: "withdrawn"}
 
 
 class BatchApi:
@@ -33,7 +33,7 @@
         self,
         model: Model,
         ledger: Ledger,
-        numbers: Numbers,
+        numbers: JobNumbers,
         rules: TermsRules,
         options: BatchOptions,
     ) -> None:
@@ -41,7 +41,7 @@
         self._ledger = ledger
         self._numbers = numbers
         self._rules = rules
-        self._door = Budget(model.clock, options.numbers_per_s, 2.0, least_burst=100.0)
+        self._door = RateBudget(model.clock, options.numbers_per_s, 2.0, least_burst=100.0)
 
     # ---- submissions ----
 
@@ -70,21 +70,21 @@
 
     # ---- numbers ----
 
-    async def take(self, body: bytes) -> Reply:
+    async def allocate_numbers(self, body: bytes) -> Reply:
         """Hand out numbers."""
         try:
-            count = wire.take_decoder.decode(body or b"{}").count
+            count = wire.numbers_request_decoder.decode(body or b"{}").count
         except msgspec.DecodeError as error:
-            return _bad(error)
+            return _bad_request(error)
         if not self._door.take(count):
             return error_reply(429, "too many numbers", max(1, math.ceil(self._door.wait_s(count))))
-        return Reply(200, wire.encode(wire.Taken(await self._numbers.take(count))))
+        return Reply(200, wire.encode(wire.NumbersResponse(await self._numbers.take(count))))
 
-    def find(self, text: str) -> Reply:
+    def find_number(self, text: str) -> Reply:
         """The jobs that a number stands for."""
         if not text.isdecimal() or not 1 <= len(text) <= 18:
             return error_reply(400, "a job number has 1 to 18 digits")
-        return Reply(200, wire.encode(wire.Found(self._numbers.known(int(text)))))
+        return Reply(200, wire.encode(wire.NumberLookup(self._numbers.ids_of(int(text)))))
 
     # ---- terms ----
 
@@ -93,8 +93,8 @@
         try:
             wanted = wire.amendment_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return _bad(error)
-        fields = _given(wanted)
+            return _bad_request(error)
+        fields = _given_fields(wanted)
         if wanted.depends is not msgspec.UNSET:
             for place, entry in enumerate(wanted.depends):
                 with self._model.lock:
@@ -106,7 +106,7 @@
         def change(job: Job) -> tuple[Submission, dict[str, int]]:
             before = job.spec.terms or Terms()
             after = msgspec.structs.replace(before, **fields)
-            if after.throttle is not None and job.gang:
+            if after.throttle is not None and job.is_gang:
                 raise TermsError("throttle: a gang's tasks run together or not at all")
             if after.any and not after.depends:
                 raise TermsError("any: there are no dependencies")
@@ -156,7 +156,7 @@
                 running,
                 max(0, job.waiting()),
                 job.submitted,
-                self._rules.held(job),
+                self._rules.hold_reason(job),
                 job.spec,
             )
         return Reply(200, wire.encode(answer))
@@ -174,7 +174,7 @@
                     len(machines),
                     machines[0].total.cpus,
                     machines[0].total.memory_gb,
-                    sorted(machine.name for machine in machines)[:MOST_NAMES],
+                    sorted(machine.name for machine in machines)[:MAX_NAMES],
                 )
                 for key, machines in sorted(rows.items())
             ]
@@ -187,14 +187,14 @@
     used = machine.planned_use()
     if not machine.attempts:
         # Only the owner of its share hears it.
-        return "idle" if machine.session or machine.listed_up or machine.addr else "booting"
+        return "idle" if machine.incarnation or machine.listed_up or machine.address else "booting"
     return "allocated" if used.cpus >= machine.total.cpus - SLACK else "mixed"
 
 
-def _given(wanted: wire.Amendment) -> dict[str, object]:
+def _given_fields(wanted: wire.Amendment) -> dict[str, object]:
     values = {name: getattr(wanted, name) for name in wanted.__struct_fields__}
     return {name: value for name, value in values.items() if value is not msgspec.UNSET}
 
 
-def _bad(error: Exception) -> Reply:
+def _bad_request(error: Exception) -> Reply:
     return Reply(400, wire.encode({"error": str(error)[:300]}))
--- a/badgerseam/api/classes.py
+++ b/badgerseam/api/classes.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from badgerseam.classes.class_record import Keeper
-from badgerseam.classes.rules import Rules
+from badgerseam.classes.class_record import ClassRecordKeeper
+from badgerseam.classes.rules import ClassRules
 from badgerseam.classes.table import to_options
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.model import Model
 from badgerseam.options.classes import check
-from badgerseam.store.client import Refused
+from badgerseam.store.client import ConditionFailedError
 from badgerseam.wire import classes as wire
 
 CLASSES = "/classes"
@@ -20,7 +20,7 @@
 class ClassesApi:
     """Answers `/classes`."""
 
-    def __init__(self, model: Model, keeper: Keeper, rules: Rules) -> None:
+    def __init__(self, model: Model, keeper: ClassRecordKeeper, rules: ClassRules) -> None:
         self._model = model
         self._keeper = keeper
         self._rules = rules
@@ -43,7 +43,7 @@
             return Reply(422, wire.encode({"error": "; ".join(wrong)}))
         try:
             found = await self._keeper.set(options)
-        except Refused:
+        except ConditionFailedError:
             return error_reply(409, "a controller or the classes changed meanwhile: try again")
         if found:
             listed = "; ".join(f"{entry.node} {entry.reason}" for entry in found)
@@ -61,10 +61,10 @@
                 None if record is None else record.at,
                 revision,
                 keeper.digest,
-                keeper.due(),
+                keeper.is_update_due(),
                 keeper.objections(),
                 rules.waiting(),
-                rules.jumps,
-                rules.held,
+                rules.inversions,
+                rules.reserved_machines,
             )
         return Reply(200, wire.encode(view))
--- a/badgerseam/api/explain.py
+++ b/badgerseam/api/explain.py
@@ -6,10 +6,10 @@
 import heapq
 import math
 
-from badgerseam.api.lists import BadQuery, lines_reply, read_filters
+from badgerseam.api.lists import BadQueryError, lines_reply, read_filters
 from badgerseam.explain.explainer import Explainer
 from badgerseam.explain.reasons import TERMS
-from badgerseam.http.budget import Budget
+from badgerseam.http.budget import RateBudget
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.job import Job
 from badgerseam.model.model import Model
@@ -26,16 +26,16 @@
 FILTERS = ("after", "limit", "team", "class", "reasons", "waiting")
 
 
-class Questions:
+class ExplainApi:
     """Admits questions at a set rate, so that no number of them hurts what the service is for."""
 
     def __init__(self, model: Model, explainer: Explainer, options: ExplainOptions) -> None:
         self._model = model
         self._explainer = explainer
         self._rules = explainer.rules
-        self._door = Budget(model.clock, options.questions_per_s, 2.0)
+        self._door = RateBudget(model.clock, options.questions_per_s, 2.0)
 
-    def turned_away(self, questions: float = 1.0) -> Reply | None:
+    def rate_limit_reply(self, questions: float = 1.0) -> Reply | None:
         """The refusal of one question too many, or None."""
         if self._door.take(questions):
             return None
@@ -53,35 +53,35 @@
         """Open jobs in the order of their ids, a line each."""
         try:
             filters, limit = read_filters(query, FILTERS)
-        except BadQuery as bad:
+        except BadQueryError as bad:
             return bad.reply
         reasons = filters.get("reasons") in ("1", "true")
         each = LINES_A_QUESTION if reasons else PLAIN_LINES_A_QUESTION
-        refusal = self.turned_away(limit / each)
+        refusal = self.rate_limit_reply(limit / each)
         if refusal is not None:
             return refusal
         model = self._model
         with model.lock:
-            jobs = [job for share in model.open_jobs for job in share.values() if _open(job)]
+            jobs = [job for shard in model.open_jobs for job in shard.values() if _open(job)]
             jobs = [job for job in jobs if _matches(job, filters)]
             jobs = heapq.nsmallest(limit, jobs, key=lambda job: job.id)
         answers: dict[str, Why] = {}
         if reasons:
-            by_share: dict[int, list[str]] = {}
+            by_shard: dict[int, list[str]] = {}
             for job in jobs:
-                by_share.setdefault(job.share, []).append(job.id)
+                by_shard.setdefault(job.shard, []).append(job.id)
             found = await asyncio.gather(
-                *(self._explainer.ask_all(share, ids) for share, ids in by_share.items())
+                *(self._explainer.ask_all(shard, ids) for shard, ids in by_shard.items())
             )
             answers = {answer.id: answer for part in found for answer in part}
         with model.lock:
             return lines_reply(encode(self._line(job, answers.get(job.id))) for job in jobs)
 
-    def _term(self, job: Job) -> list[Code]:
+    def _hold_term(self, job: Job) -> list[Code]:
         """The term that holds a job back, which needs no survey to be known."""
         if job.spec.terms is None or job.waiting() <= 0:
             return []
-        held = self._rules.held(job)
+        held = self._rules.hold_reason(job)
         return [] if held is None else [TERMS[held]]
 
     def _line(self, job: Job, answer: Why | None) -> QueueLine:
@@ -100,7 +100,7 @@
             running,
             job.finished,
             round(max(0.0, self._model.clock.wall() - job.submitted), 1),
-            list(dict.fromkeys(r.code for r in reasons if r.binding)) or self._term(job),
+            list(dict.fromkeys(r.code for r in reasons if r.binding)) or self._hold_term(job),
             reasons[0].text if reasons else None,
             terms.name,
             terms.user,
--- a/badgerseam/api/lists.py
+++ b/badgerseam/api/lists.py
@@ -7,13 +7,14 @@
 
 import msgspec
 
+from badgerseam.errors import BadgerseamError
 from badgerseam.http.server import Reply
 
 NDJSON = "application/x-ndjson"
-MOST_LINES = 500
+MAX_LINES = 500
 
 
-class BadQuery(Exception):
+class BadQueryError(BadgerseamError):
     """A query that cannot be answered; `reply` says why."""
 
     def __init__(self, text: str) -> None:
@@ -26,10 +27,10 @@
     filters = dict(parse_qsl(query, keep_blank_values=True))
     unknown = sorted(filters.keys() - set(known))
     if unknown:
-        raise BadQuery(f"unknown: {', '.join(unknown)[:100]}; known are {', '.join(known)}")
+        raise BadQueryError(f"unknown: {', '.join(unknown)[:100]}; known are {', '.join(known)}")
     limit = filters.get("limit", "100")
-    if not limit.isdecimal() or not 1 <= int(limit) <= MOST_LINES:
-        raise BadQuery(f"limit: a number from 1 to {MOST_LINES}")
+    if not limit.isdecimal() or not 1 <= int(limit) <= MAX_LINES:
+        raise BadQueryError(f"limit: a number from 1 to {MAX_LINES}")
     return filters, int(limit)
 
 
--- a/badgerseam/api/rollout.py
+++ b/badgerseam/api/rollout.py
@@ -4,17 +4,17 @@
 
 import msgspec
 
-from badgerseam.cluster.availability import Away
-from badgerseam.cluster.membership import Member
+from badgerseam.cluster.availability import UnavailableReason
+from badgerseam.cluster.membership import Membership
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.model import Model
 from badgerseam.rollout.handover import Handover
-from badgerseam.rollout.level_upgrade import Raising
-from badgerseam.rollout.migration import Carrying
-from badgerseam.rollout.page_refresh import Refresh
-from badgerseam.store.client import Refused
+from badgerseam.rollout.level_upgrade import LevelUpgrade
+from badgerseam.rollout.migration import RecordMigration
+from badgerseam.rollout.page_refresh import PageRefresh
+from badgerseam.store.client import ConditionFailedError
 from badgerseam.wire import rollout as wire
-from badgerseam.workers.lease_expiry import RECENT_REPORTS
+from badgerseam.workers.lease_expiry import RECENT_INTERVALS
 
 ROLLOUT = "/rollout"
 RETRY_S = 1
@@ -26,11 +26,11 @@
     def __init__(
         self,
         model: Model,
-        member: Member,
-        raising: Raising,
+        member: Membership,
+        raising: LevelUpgrade,
         handover: Handover,
-        refresh: Refresh,
-        carrying: Carrying,
+        refresh: PageRefresh,
+        carrying: RecordMigration,
     ) -> None:
         self._model = model
         self._member = member
@@ -50,31 +50,31 @@
         if action == "target":
             return await self._target(body)
         if action == "leave":
-            refusal = self._handover.leave()
+            refusal = self._handover.drain()
             if refusal is not None:
                 return error_reply(409, refusal)
         else:
-            self._handover.come_back()
+            self._handover.resume()
         return self.view()
 
     async def _target(self, body: bytes) -> Reply:
         try:
-            wish = wire.wish_decoder.decode(body)
+            wish = wire.level_request_decoder.decode(body)
         except msgspec.DecodeError as error:
             return Reply(400, wire.encode({"error": str(error)}))
         model, level = self._model, wish.level
         if not model.loaded:
             return error_reply(503, "starting", RETRY_S)
         if level is not None:
-            if not model.program.fits(level):
+            if not model.program.supports(level):
                 least, most = model.program.least, model.program.most
                 return error_reply(409, f"level: this program reads {least} to {most}")
-            for step in range(model.site.level, level, -1):
-                if not model.program.lowers(step):
+            for step in range(model.level.level, level, -1):
+                if not model.program.can_lower_from(step):
                     return error_reply(409, f"level: level {step} cannot be undone")
         try:
-            await self._raising.want(level, self._member.node)
-        except Refused:
+            await self._raising.set_target(level, self._member.node)
+        except ConditionFailedError:
             return error_reply(409, "another operator was faster: look at the status")
         return self.view()
 
@@ -83,17 +83,17 @@
         model, member, raising = self._model, self._member, self._raising
         with model.lock:
             following = raising.next_level()
-            leader = model.leader
-            held = {share.index: share.held.claim.node for share in model.shares if share.held}
+            leader = model.leader_claim
+            held = {shard.index: shard.claim.record.node for shard in model.shards if shard.claim}
             view = wire.View(
-                model.site.level,
-                model.program.name(model.site.level),
-                model.program.behaviours(model.site.level),
+                model.level.level,
+                model.program.name(model.level.level),
+                model.program.behaviours(model.level.level),
                 None if model.target is None else model.target[0].level,
                 following,
                 [] if following is None else raising.obstacles(following),
-                [share.index for share in model.shares if share.held is None],
-                None if leader is None else leader.claim.node,
+                [shard.index for shard in model.shards if shard.claim is None],
+                None if leader is None else leader.record.node,
                 [self._controller(name, held) for name in member.order],
                 self._own(),
             )
@@ -101,39 +101,42 @@
 
     def _controller(self, name: str, held: dict[int, str]) -> wire.ControllerView:
         model = self._model
-        present = model.nodes.get(name)
-        leads = model.leader is not None and model.leader.claim.node == name
-        shares = sorted(share for share, node in held.items() if node == name)
+        present = model.controllers.get(name)
+        leads = model.leader_claim is not None and model.leader_claim.record.node == name
+        shards = sorted(shard for shard, node in held.items() if node == name)
         if present is None:
-            return wire.ControllerView(name, "missing", None, None, "", shares, leads)
-        claim = present.claim
-        state = "aside" if claim.away else "acting"
+            return wire.ControllerView(name, "missing", None, None, "", shards, leads)
+        claim = present.record
+        state = "aside" if claim.unavailable else "acting"
         return wire.ControllerView(
-            name, state, claim.least, claim.most, claim.program, shares, leads
+            name, state, claim.min_level, claim.max_level, claim.program, shards, leads
         )
 
     def _own(self) -> wire.OwnView:
         model, member = self._model, self._member
         now = model.clock.now()
-        if member.away(Away.UNFIT):
+        if member.is_unavailable(UnavailableReason.UNSUPPORTED_LEVEL):
             state = "unfit"
         elif not model.loaded:
             state = "starting"
-        elif self._handover.left:
+        elif self._handover.is_drained:
             state = "left"
         else:
-            state = "leaving" if self._handover.leaving else "acting"
-        recent = now - RECENT_REPORTS * model.settings.params.workers.report_s
+            state = "leaving" if self._handover.is_draining else "acting"
+        recent = now - RECENT_INTERVALS * model.settings.params.workers.report_s
         machines = heard = 0
-        for share in model.shares:
-            if share.owned:
-                machines += len(model.fleets[share.index])
-                heard += sum(m.heard_at >= recent for m in model.fleets[share.index].values())
+        for shard in model.shards:
+            if shard.owned:
+                machines += len(model.shard_machines[shard.index])
+                heard += sum(
+                    m.last_heartbeat_at >= recent
+                    for m in model.shard_machines[shard.index].values()
+                )
         return wire.OwnView(
             member.node,
             state,
-            self._handover.may_end,
-            model.up_to_date,
+            self._handover.may_stop,
+            model.is_up_to_date,
             machines,
             heard,
             round(now - self._started, 1),
--- a/badgerseam/api/runs.py
+++ b/badgerseam/api/runs.py
@@ -12,14 +12,14 @@
 
 import msgspec
 
-from badgerseam.api.lists import BadQuery, read_filters
+from badgerseam.api.lists import BadQueryError, read_filters
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.job import Job
 from badgerseam.model.keys import run_key
 from badgerseam.model.model import Model
 from badgerseam.runs.counting import SLICE, count
-from badgerseam.runs.run_index import Book, PlanJobs, Standing
-from badgerseam.runs.run_lifecycle import Keeper
+from badgerseam.runs.run_index import MemberState, PlanJobs, RunIndex
+from badgerseam.runs.run_lifecycle import RunLifecycle
 from badgerseam.store.client import StateClient
 from badgerseam.wire import runs as wire
 from badgerseam.wire.state import StoredRun
@@ -27,10 +27,10 @@
 RUNS = "/runs"
 RETRY_S = 1
 READ_S = 1.0
-TRIES = 3
-LISTED = 10
+MAX_ATTEMPTS = 3
+MAX_RUNS_LISTED = 10
 """Runs of each plan in the list, the latest ones."""
-STANDINGS = [standing.value for standing in Standing]
+MEMBER_STATES = [standing.value for standing in MemberState]
 
 Confirm = Callable[[str, int], Awaitable[bool]]
 """Whether a key has a stamp (0: none) now; Unavailable if nobody can tell."""
@@ -39,7 +39,9 @@
 class RunsApi:
     """Answers `/runs` and what lies below it."""
 
-    def __init__(self, model: Model, state: StateClient, book: Book, keeper: Keeper) -> None:
+    def __init__(
+        self, model: Model, state: StateClient, book: RunIndex, keeper: RunLifecycle
+    ) -> None:
         self._model = model
         self._state = state
         self._book = book
@@ -86,7 +88,7 @@
         """Whether the latest runs of these plans are known, and are the latest; Unavailable if
         nobody can tell."""
         assert self._confirm is not None
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             with self._model.lock:
                 keys = {run_key(plan.plan.name, plan.latest + 1): 0 for plan in plans}
                 keys |= {
@@ -113,7 +115,7 @@
             return error_reply(503, "changing", RETRY_S)
         views = []
         for plan in plans:
-            for number in range(plan.latest, max(0, plan.latest - LISTED), -1):
+            for number in range(plan.latest, max(0, plan.latest - MAX_RUNS_LISTED), -1):
                 views.append(await self._view(plan, number))
         without = [plan.plan.name for plan in plans if not plan.latest]
         return Reply(200, wire.encode(wire.RunList(views, without)))
@@ -124,13 +126,15 @@
             later = 0
             if number == plan.latest:
                 jobs = plan.all_jobs()
-                later = sum(job.tasks for job in jobs if plan.number(job.place) > number)
+                later = sum(
+                    job.tasks for job in jobs if plan.run_number(job.queue_position) > number
+                )
         if record.phase == "closed":
             names = ("reckoned", "withdrawn", "unresolved")
             members = dict(zip(names, record.counts, strict=False))
         else:
             counts = await count(self._model, self._book, plan, number)
-            members = {standing.value: counts.standings[standing] for standing in Standing}
+            members = {standing.value: counts.by_state[standing] for standing in MemberState}
         return wire.RunView(
             plan.plan.name,
             number,
@@ -164,11 +168,11 @@
     async def _members(self, plan: PlanJobs, number: int, query: str) -> Reply:
         try:
             filters, limit = read_filters(query, ("standing", "from", "limit"))
-        except BadQuery as bad:
+        except BadQueryError as bad:
             return bad.reply
         wanted = filters.get("standing")
-        if wanted is not None and wanted not in STANDINGS:
-            return _error(400, f"standing: one of {', '.join(STANDINGS)}")
+        if wanted is not None and wanted not in MEMBER_STATES:
+            return _error(400, f"standing: one of {', '.join(MEMBER_STATES)}")
         after = filters.get("from", "")
         job_id, _, task = after.partition("/")
         if after and (not job_id or (task and not task.isdecimal())):
@@ -190,12 +194,12 @@
         """Members behind one, by place of their job and number; None if that one is not known."""
         with self._model.lock:
             order: list[tuple[int, str, Job | None]] = [
-                (job.place, job.id, job) for job in plan.members(number)
+                (job.queue_position, job.id, job) for job in plan.members(number)
             ]
             order += [
-                (ended.place, name, None)
+                (ended.queue_position, name, None)
                 for name, ended in plan.ended.items()
-                if plan.number(ended.place) == number
+                if plan.run_number(ended.queue_position) == number
             ]
         order.sort(key=lambda entry: entry[:2])
         begin = 0
@@ -214,8 +218,8 @@
                     ()
                     if ended is None
                     else (
-                        (Standing.RECKONED, ended.reckoned),
-                        (Standing.WITHDRAWN, ended.tasks - ended.reckoned),
+                        (MemberState.RECKONED, ended.reckoned),
+                        (MemberState.CANCELLED, ended.tasks - ended.reckoned),
                     )
                 ):
                     if members and wanted in (None, standing.value):
@@ -228,7 +232,7 @@
                 last = min(job.tasks, first + SLICE)
                 with self._model.lock:
                     for each in range(first, last):
-                        standing = self._book.standing(plan, job, each)
+                        standing = self._book.member_state(plan, job, each)
                         if wanted in (None, standing.value):
                             views.append(self._member(job, each, standing))
                             if len(views) >= limit:
@@ -240,14 +244,14 @@
                     await asyncio.sleep(0)
         return wire.MemberPage(views)
 
-    def _member(self, job: Job, task: int, standing: Standing) -> wire.MemberView:
+    def _member(self, job: Job, task: int, standing: MemberState) -> wire.MemberView:
         attempt = job.attempts.get(task)
         machine: str | None = None
         running: float | None = None
         kept: float | None = None
-        if attempt is not None and standing in (Standing.PLACED, Standing.RUNNING):
+        if attempt is not None and standing in (MemberState.PLACED, MemberState.RUNNING):
             machine = attempt.machine.name
-            if standing == Standing.RUNNING:
+            if standing == MemberState.RUNNING:
                 running = round(self._model.clock.now() - attempt.started_at, 1)
                 step = job.spec.checkpoint_s
                 kept = running // step * step if step > 0 else 0.0
--- a/badgerseam/api/users.py
+++ b/badgerseam/api/users.py
@@ -13,26 +13,26 @@
 from badgerseam.api.accounting import ACCOUNTING, AccountingApi
 from badgerseam.api.batch import MACHINES, NUMBERS, BatchApi
 from badgerseam.api.classes import CLASSES, ClassesApi
-from badgerseam.api.explain import Questions
+from badgerseam.api.explain import ExplainApi
 from badgerseam.api.rollout import ROLLOUT, RolloutApi
 from badgerseam.api.runs import RUNS, RunsApi
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.availability import Away
-from badgerseam.cluster.membership import Member
+from badgerseam.cluster.availability import UnavailableReason
+from badgerseam.cluster.membership import Membership
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.job import Job, Phase
 from badgerseam.model.keys import job_key
 from badgerseam.model.model import Model
 from badgerseam.model.resources import Resources
 from badgerseam.options.replicas import ReplicasOptions
-from badgerseam.replicas.shapes import unfit
-from badgerseam.store.client import Refused, StateClient, Unavailable
+from badgerseam.replicas.shapes import infeasible_reason
+from badgerseam.store.client import ConditionFailedError, StateClient, StateUnavailableError
 from badgerseam.store.ledger import Ledger
 from badgerseam.wire import batch as batch_wire
 from badgerseam.wire import explain
 from badgerseam.wire import users as wire
 from badgerseam.wire.state import Condition
-from badgerseam.workers.worker_manager import Control
+from badgerseam.workers.worker_manager import WorkerManager
 
 T = TypeVar("T")
 
@@ -41,18 +41,18 @@
 JOB_ID = re.compile(r"job-[0-9]{1,18}")
 ROOT = "/submissions"
 QUEUE = "/queue"
-TAKEN = "another job has this id"
+ID_TAKEN = "another job has this id"
 GATHER_S = 0.004
-SPARED = 0.3
+RESERVED_FRACTION = 0.3
 """Part of a second's requests to the state service that polls leave alone: users that ask many
 times as often wait for the next comparison, which serves all who came meanwhile, and renewals of
 leases, submissions and what follows the state service do not wait for them."""
 RETRY_S = 1
-ASIDE_S = 2
+UNSUPPORTED_RETRY_S = 2
 """Told to users of a controller that takes no part: another one answers them."""
 
 
-class Confirmations:
+class VersionConfirmations:
     """Confirms by one comparing transaction that the jobs asked about have not changed."""
 
     def __init__(self, state: StateClient) -> None:
@@ -91,10 +91,10 @@
         error: Exception | None = None
         try:
             conditions = [Condition(key, version) for key, (version, _) in batch.items()]
-            await self._state.transact(conditions, [], 1.2, SPARED)
-        except Refused as refusal:
+            await self._state.compare_and_swap(conditions, [], 1.2, RESERVED_FRACTION)
+        except ConditionFailedError as refusal:
             failed = set(refusal.failed)
-        except Unavailable as unavailable:
+        except StateUnavailableError as unavailable:
             error = unavailable
         except Exception as unforeseen:
             # Whatever it was, the next batch is asked: no poll would ever be answered again.
@@ -105,12 +105,12 @@
                 if future.done():
                     continue
                 if error is not None:
-                    future.set_exception(Unavailable(str(error)))
+                    future.set_exception(StateUnavailableError(str(error)))
                 else:
                     future.set_result(key not in failed)
 
 
-class Api:
+class UserApi:
     """The handler of the address that users, workers and health checks use."""
 
     def __init__(
@@ -118,10 +118,10 @@
         model: Model,
         state: StateClient,
         ledger: Ledger,
-        member: Member,
-        control: Control,
+        member: Membership,
+        control: WorkerManager,
         alone: Callable[[], str | None],
-        questions: Questions | None = None,
+        questions: ExplainApi | None = None,
         batch: BatchApi | None = None,
         accounting: AccountingApi | None = None,
         rollout: RolloutApi | None = None,
@@ -140,17 +140,17 @@
         self._ledger = ledger
         self._member = member
         self._control = control
-        self._confirm = Confirmations(state)
+        self._confirm = VersionConfirmations(state)
         self._runs = runs
         if runs is not None:
             runs.confirm_with(self._confirm.unchanged)
 
     async def handle(self, method: str, path: str, body: bytes) -> Reply:
         """One request of a user or a health check."""
-        misfit = self._model.misfit
+        misfit = self._model.unsupported_reason
         if misfit is not None:
             # What it knows is as old as its standing aside, and in a form that may be past.
-            return error_reply(503, misfit, ASIDE_S)
+            return error_reply(503, misfit, UNSUPPORTED_RETRY_S)
         try:
             if self._rollout is not None and path.startswith(ROLLOUT + "/"):
                 return await self._rollout.handle(method, path, body)
@@ -159,7 +159,7 @@
             if self._runs is not None and path.partition("?")[0].split("/")[1:2] == [RUNS[1:]]:
                 return await self._runs.handle(method, path, body)
             return await self._route(method, path, body)
-        except Unavailable:
+        except StateUnavailableError:
             return error_reply(503, "the state service cannot be asked", RETRY_S)
 
     def dispatch(self, method: str, path: str, body: bytes) -> Reply | object:
@@ -167,7 +167,7 @@
         if path == "/checkin":
             if method != "POST":
                 return error_reply(405, "POST only")
-            return self._control.checkin(body)
+            return self._control.handle_heartbeat(body)
         if path.partition("?")[0] == "/ready":
             return self._ready()
         if path == ROLLOUT and method == "GET" and self._rollout is not None:
@@ -178,11 +178,11 @@
     def _ready(self) -> Reply:
         # In an outage that all share, no node is better than this one, and a removal from the
         # load balancer would outlast it.
-        misfit = self._model.misfit
+        misfit = self._model.unsupported_reason
         if misfit is not None:
-            return error_reply(503, misfit, ASIDE_S)
-        if self._member.away(Away.LEAVING):
-            return error_reply(503, "leaving", ASIDE_S)
+            return error_reply(503, misfit, UNSUPPORTED_RETRY_S)
+        if self._member.is_unavailable(UnavailableReason.DRAINING):
+            return error_reply(503, "leaving", UNSUPPORTED_RETRY_S)
         if self._model.loaded and self._model.types and self._alone() is None:
             return Reply(200, b'{"ready":true}')
         return error_reply(503, "not ready", RETRY_S)
@@ -237,9 +237,9 @@
         if not self._model.loaded:
             return error_reply(503, "starting", RETRY_S)
         if path == NUMBERS and method == "POST":
-            return await batch.take(body)
+            return await batch.allocate_numbers(body)
         if path.startswith(NUMBERS + "/") and method == "GET":
-            return batch.find(path[len(NUMBERS) + 1 :])
+            return batch.find_number(path[len(NUMBERS) + 1 :])
         if path == MACHINES and method == "GET":
             return batch.machines()
         return error_reply(404, "no such path, or another method")
@@ -253,7 +253,7 @@
             return await batch.amend(job_id, body)
         if method != "GET":
             return error_reply(405, "GET only")
-        found = await self._current(job_id, lambda job: job)
+        found = await self._confirmed(job_id, lambda job: job)
         if isinstance(found, Reply):
             return found
         if isinstance(found, wire.JobStatus):
@@ -274,9 +274,9 @@
             known = spec.id in model.ended or spec.id in model.job_index
             if not known and not (model.loaded and model.types):
                 return error_reply(503, "starting", RETRY_S)
-            reason = None if known else self._hopeless(spec)
+            reason = None if known else self._infeasible_reason(spec)
         if known:
-            return await self._again(spec)
+            return await self._answer_repeated(spec)
         if spec.terms is not None:
             if self._batch is None:
                 # Left unheeded, a hold or a dependency would be broken.
@@ -286,7 +286,7 @@
         if reason is not None:
             # A retry of a job that was accepted gets its state, whatever we think of it now.
             if await self._ledger.read(spec.id) is not None:
-                return await self._again(spec)
+                return await self._answer_repeated(spec)
             log.info("refused %s of %s: %s", spec.id, spec.team, reason)
             return Reply(422, wire.status_encoder.encode({"error": reason}))
         accepted = await self._ledger.accept(spec)
@@ -296,15 +296,15 @@
         # tasks are placed by now, this node may know less than its user has been told.
         if accepted and job is not None and not job.attempts and not job.finished:
             return _status(201, wire.JobStatus(spec.id, "pending"))
-        return await self._again(spec)
+        return await self._answer_repeated(spec)
 
-    async def _again(self, spec: wire.Submission) -> Reply:
+    async def _answer_repeated(self, spec: wire.Submission) -> Reply:
         """The state of a job that is known, unless another one has its id."""
         if self._batch is not None and self._batch.collides(spec):
-            return error_reply(409, TAKEN)
+            return error_reply(409, ID_TAKEN)
         return await self._show(spec.id)
 
-    def _hopeless(self, spec: wire.Submission) -> str | None:
+    def _infeasible_reason(self, spec: wire.Submission) -> str | None:
         """Why a job can never run, or None."""
         model = self._model
         index = model.team_index.get(spec.team)
@@ -313,7 +313,7 @@
         need = Resources(spec.cpus, spec.gpus, spec.memory_gb)
         zones = {spec.zone} if spec.zone is not None else None
         fits = any(
-            need.fits(model.capacity(name))
+            need.fits_in(model.capacity(name))
             and (spec.types is None or name in spec.types)
             and (zones is None or zones & set(entry.zones))
             for name, entry in model.types.items()
@@ -321,29 +321,31 @@
         if not fits:
             return "a task fits no allowed machine type"
         count = 1 if spec.kind == "sweep" else spec.tasks
-        if not need.times(count).fits(model.teams[index].limit):
+        if not need.times(count).fits_in(model.teams[index].limit):
             return "more than the limit of the team"
-        return None if self._replicas is None else unfit(self._replicas, model.types, spec)
+        return (
+            None if self._replicas is None else infeasible_reason(self._replicas, model.types, spec)
+        )
 
     # ---- polls ----
 
     async def _show(self, job_id: str) -> Reply:
-        found = await self._current(job_id, lambda job: _status(200, _open(job)))
+        found = await self._confirmed(job_id, lambda job: _status(200, _open(job)))
         if isinstance(found, wire.JobStatus):
             return _status(200, found)
         return found
 
     async def _why(self, job_id: str) -> Reply:
         assert self._questions is not None
-        refusal = self._questions.turned_away()
+        refusal = self._questions.rate_limit_reply()
         if refusal is not None:
             return refusal
-        found = await self._current(job_id, lambda job: job)
+        found = await self._confirmed(job_id, lambda job: job)
         if isinstance(found, wire.JobStatus):
             return Reply(200, explain.encode(explain.Why(job_id, found.state)))
         return await self._questions.why(found) if isinstance(found, Job) else found
 
-    async def _current(self, job_id: str, view: Callable[[Job], T]) -> T | wire.JobStatus | Reply:
+    async def _confirmed(self, job_id: str, view: Callable[[Job], T]) -> T | wire.JobStatus | Reply:
         """What is seen of an open job, confirmed not to have changed since; the final state of an
         ended one; or why neither can be told."""
         model = self._model
@@ -355,7 +357,7 @@
                     return _ended(job_id, *ended)
                 seen = None if job is None else (job.version, view(job))
             if seen is None:
-                phase = await self._ledger.read(job_id, SPARED)
+                phase = await self._ledger.read(job_id, RESERVED_FRACTION)
                 if phase is None:
                     return error_reply(404, "no such job")
                 with model.lock:
@@ -366,7 +368,7 @@
                 continue
             # Another node may have told the user of an end that has not reached us.
             if not await self._confirm.unchanged(job_key(job_id), seen[0]):
-                await self._ledger.read(job_id, SPARED)
+                await self._ledger.read(job_id, RESERVED_FRACTION)
             elif job_id not in model.ended:
                 # Else it ended while the comparison's answer was on its way, and its user may have
                 # been told.
--- a/badgerseam/batch/numbers.py
+++ b/badgerseam/batch/numbers.py
@@ -14,8 +14,8 @@
 
 from badgerseam.model.keys import PREFIX
 from badgerseam.model.model import Model
-from badgerseam.store.client import Refused, StateClient
-from badgerseam.store.committer import Committer, Urgency
+from badgerseam.store.client import ConditionFailedError, StateClient
+from badgerseam.store.committer import GroupCommitter, Urgency
 from badgerseam.wire import state as wire
 
 KEY = f"{PREFIX}b"
@@ -23,8 +23,8 @@
 """Below it users of the service's own protocol choose their ids as they like."""
 BLOCK = 100
 """Numbers for one write; changes a second are the scarcest thing there is."""
-MOST_AT_ONCE = 100
-MOST_DIGITS = 18
+MAX_NUMBERS_AT_ONCE = 100
+MAX_DIGITS = 18
 DEADLINE_S = 1.5
 
 
@@ -33,10 +33,10 @@
     return f"job-{number}"
 
 
-class Numbers:
+class JobNumbers:
     """Hands out numbers on one controller."""
 
-    def __init__(self, model: Model, state: StateClient, committer: Committer) -> None:
+    def __init__(self, model: Model, state: StateClient, committer: GroupCommitter) -> None:
         self._model = model
         self._state = state
         self._committer = committer
@@ -53,7 +53,7 @@
                     await self._claim()
                 number, self._next = self._next, self._next + 1
                 # Its digits may be somebody's own id already.
-                if not self.known(number):
+                if not self.ids_of(number):
                     taken.append(number)
         return taken
 
@@ -70,16 +70,16 @@
                     [wire.Write(put=KEY, value=wire.raw(first + BLOCK))],
                     DEADLINE_S,
                 )
-            except Refused:
+            except ConditionFailedError:
                 # Another has claimed it, or we have and were not told: the next one then.
                 continue
             self._next, self._end = first, first + BLOCK
             return
 
-    def known(self, number: int) -> list[str]:
+    def ids_of(self, number: int) -> list[str]:
         """The ids of accepted jobs with this number: with leading zeros there can be several."""
         digits = str(number)
-        ids = [f"job-{digits.zfill(width)}" for width in range(len(digits), MOST_DIGITS + 1)]
+        ids = [f"job-{digits.zfill(width)}" for width in range(len(digits), MAX_DIGITS + 1)]
         with self._model.lock:
             return [
                 name for name in ids if name in self._model.ended or name in self._model.job_index
--- a/badgerseam/batch/terms.py
+++ b/badgerseam/batch/terms.py
@@ -4,20 +4,21 @@
 
 from collections.abc import Awaitable, Callable
 
+from badgerseam.errors import BadgerseamError
 from badgerseam.model.job import Job, Phase
 from badgerseam.model.keys import job_key
 from badgerseam.model.model import Model
 from badgerseam.model.records import name_key
 from badgerseam.wire.users import Dependency, Submission, Terms
 
-MOST_WALKED = 1000
+MAX_DEPENDENCIES_WALKED = 1000
 """Jobs looked at for a cycle."""
 
 Known = Callable[[str], Awaitable[bool]]
 """Whether a job was ever accepted, asked of the state service."""
 
 
-class TermsError(Exception):
+class TermsError(BadgerseamError):
     """Terms that cannot be taken; the message names the field and what to do. `jobs`: those whose
     records it rests on, besides the one that the terms are of."""
 
@@ -34,7 +35,7 @@
 
     # ---- for the plan ----
 
-    def held(self, job: Job) -> str | None:
+    def hold_reason(self, job: Job) -> str | None:
         """Why no more tasks of a job with terms may start now; None if they may."""
         held = self._held(job)
         if held in (None, "throttle") and job.eligible_at is None:
@@ -59,7 +60,7 @@
             return "throttle"
         return None
 
-    def most(self, job: Job) -> int | None:
+    def max_starts(self, job: Job) -> int | None:
         """How many more tasks may start, if a throttle says so."""
         terms = job.spec.terms
         if terms is None or terms.throttle is None:
@@ -71,22 +72,22 @@
         terms = job.spec.terms
         if terms is None:
             return []
-        return [entry for entry in terms.depends if self._met(entry) is not True]
+        return [entry for entry in terms.depends if self._is_met(entry) is not True]
 
     def _dependencies(self, job: Job, terms: Terms) -> bool | None:
         """Whether they are met; False if they never will be, None if that is open."""
-        if job.met:
+        if job.dependencies_met:
             return True
-        found = [self._met(entry) for entry in terms.depends]
+        found = [self._is_met(entry) for entry in terms.depends]
         if terms.any:
             met = True if True in found else None if None in found else False
         else:
             met = False if False in found else None if None in found else True
         # What has ended stays so: what is met once is not looked at again.
-        job.met = met is True
+        job.dependencies_met = met is True
         return met
 
-    def _met(self, entry: Dependency) -> bool | None:
+    def _is_met(self, entry: Dependency) -> bool | None:
         ended = self._model.ended.get(entry.job)
         if ended is None:
             other = self._model.job(entry.job)
@@ -101,7 +102,7 @@
         own = (job.submitted, job.id)
         found = [
             other
-            for index in (self._model.named.get(key, ()) if key is not None else ())
+            for index in (self._model.jobs_by_name.get(key, ()) if key is not None else ())
             if (other := self._model.jobs[index]) is not None
             and other.phase == Phase.OPEN
             and (other.submitted, other.id) < own
@@ -149,7 +150,9 @@
             if name in seen or job is None or job.phase != Phase.OPEN:
                 continue
             seen.add(name)
-            if len(seen) > min(MOST_WALKED, 4 * self._model.settings.params.state.txn_ops - 4):
+            if len(seen) > min(
+                MAX_DEPENDENCIES_WALKED, 4 * self._model.settings.params.state.txn_ops - 4
+            ):
                 raise TermsError("terms.depends: too many jobs wait for one another")
             conditions[job_key(name)] = job.version
             if job.spec.terms is not None:
--- a/badgerseam/classes/arrival_forecast.py
+++ b/badgerseam/classes/arrival_forecast.py
@@ -20,16 +20,16 @@
 """A vacancy that began longer before a claim is not the one that ended with it."""
 SLACK_S = 5.0
 """Arrivals are in the order in which they were seen; their times are apart by no more."""
-MOST_TASKS = 2000
+MAX_TASKS = 2000
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class TaskKind:
     """Tasks that are alike for what they take."""
 
-    klass: int
+    priority_class: int
     rank: int
-    need: Resources
+    demand: Resources
     spot: bool
 
 
@@ -37,18 +37,18 @@
 
 
 def rates(
-    arrivals: Iterable[Arrival], class_of: ClassOf, share: int, before: float, lowest: int
-) -> dict[Kind, float]:
+    arrivals: Iterable[Arrival], class_of: ClassOf, shard: int, before: float, lowest: int
+) -> dict[TaskKind, float]:
     """Tasks a second that came to a share before a time, of all classes but the lowest."""
-    sums: dict[Kind, list[float]] = {}
+    sums: dict[TaskKind, list[float]] = {}
     for arrival in arrivals:
         age = before - arrival.at
-        if arrival.share != share or not 0 <= age <= max(WINDOWS_S):
+        if arrival.shard != shard or not 0 <= age <= max(WINDOWS_S):
             continue
         klass = class_of(arrival)
         if klass >= lowest:
             continue
-        kind = Kind(klass, arrival.rank, arrival.need, arrival.spot)
+        kind = TaskKind(klass, arrival.rank, arrival.need, arrival.spot)
         found = sums.setdefault(kind, [0.0] * len(WINDOWS_S))
         for position, window_s in enumerate(WINDOWS_S):
             if age <= window_s:
@@ -56,29 +56,29 @@
     return {kind: max(found) for kind, found in sums.items()}
 
 
-def missing(
-    expected: dict[Kind, float],
+def expected_tasks(
+    expected: dict[TaskKind, float],
     recent: Iterable[Arrival],
     class_of: ClassOf,
-    share: int,
+    shard: int,
     since: float,
     until: float,
-) -> dict[Kind, int]:
+) -> dict[TaskKind, int]:
     """Tasks of each kind that should come between two times and have not come yet.
 
     `expected`: tasks a second; `recent`: arrivals, the latest first.
     """
-    came: dict[Kind, int] = {}
+    came: dict[TaskKind, int] = {}
     for arrival in recent:
         if arrival.at < since - SLACK_S:
             break
-        if arrival.share == share and arrival.at >= since:
-            kind = Kind(class_of(arrival), arrival.rank, arrival.need, arrival.spot)
+        if arrival.shard == shard and arrival.at >= since:
+            kind = TaskKind(class_of(arrival), arrival.rank, arrival.need, arrival.spot)
             came[kind] = came.get(kind, 0) + arrival.tasks
     found = {}
     for kind, rate in expected.items():
         # Half a task that may come is not worth a machine.
         tasks = math.floor(rate * (until - since) + 0.5) - came.get(kind, 0)
         if tasks > 0:
-            found[kind] = min(tasks, MOST_TASKS)
+            found[kind] = min(tasks, MAX_TASKS)
     return found
--- a/badgerseam/classes/capacity_reservation.py
+++ b/badgerseam/classes/capacity_reservation.py
@@ -11,12 +11,12 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class ReservedCapacity:
     """Tasks of a class that room is kept for."""
 
-    klass: int
+    priority_class: int
     rank: int
-    need: Resources
+    demand: Resources
     spot: bool
     """They may use spot machines."""
     count: int
@@ -28,15 +28,15 @@
     """Only empty machines will do: they have to be passed on to another share."""
 
 
-def keep(snapshot: pts.Snapshot, kept: list[Kept]) -> set[int]:
+def reserve(snapshot: pts.Snapshot, kept: list[ReservedCapacity]) -> set[int]:
     """Have the snapshot's requests of lower classes shun the machines that are kept; these.
 
     A team that claims what it is guaranteed is not held back, and neither is work of a higher rank.
     """
-    held: list[tuple[Kept, set[int]]] = []
-    lowest = max((request.klass for request in snapshot.requests), default=0)
+    held: list[tuple[ReservedCapacity, set[int]]] = []
+    lowest = max((request.priority_class for request in snapshot.requests), default=0)
     for entry in kept:
-        if entry.klass < lowest:
+        if entry.priority_class < lowest:
             found = _machines(snapshot.nodes, entry)
             if found:
                 held.append((entry, found))
@@ -51,7 +51,7 @@
                 barred |= machines
         if barred and not claims(snapshot, request):
             taken |= barred
-            request = replace(request, shunned=request.shunned | barred)
+            request = replace(request, avoided_machines=request.avoided_machines | barred)
         requests.append(request)
     snapshot.requests = requests
     return taken
@@ -60,27 +60,28 @@
 def claims(snapshot: pts.Snapshot, request: pts.Request) -> bool:
     """Whether a task of the request is within its team's guarantee."""
     team = snapshot.teams[request.team]
-    return team.used.plus(request.need).fits(team.guarantee)
+    return team.used.plus(request.demand).fits_in(team.guarantee)
 
 
-def _behind(request: pts.Request, entry: Kept) -> bool:
-    if request.klass <= entry.klass or request.rank > entry.rank:
+def _behind(request: pts.Request, entry: ReservedCapacity) -> bool:
+    if request.priority_class <= entry.priority_class or request.rank > entry.rank:
         return False
     # High-priority work evicts what is of a lower rank: nothing need be kept from that.
     return request.rank == entry.rank or entry.rank < HIGH_RANK
 
 
-def _machines(nodes: list[pts.Node], entry: Kept) -> set[int]:
+def _machines(nodes: list[pts.MachineSnapshot], entry: ReservedCapacity) -> set[int]:
     """Machines whose free room is enough for the tasks, the smallest rooms that do first."""
     fitting = [
         node
         for node in nodes
-        if entry.need.fits(node.free)
+        if entry.demand.fits_in(node.free)
         and (not entry.whole or node.free == node.total)
         and (
             (entry.spot or not node.spot)
             if entry.request is None
-            else node.index not in entry.request.shunned and pts.allowed(entry.request, node)
+            else node.index not in entry.request.avoided_machines
+            and pts.job_rules_allow(entry.request, node)
         )
     ]
     if entry.every:
@@ -91,5 +92,5 @@
         if left <= 0:
             break
         found.add(node.index)
-        left -= entry.need.times_in(node.free)
+        left -= entry.demand.count_in(node.free)
     return found
--- a/badgerseam/classes/class_record.py
+++ b/badgerseam/classes/class_record.py
@@ -12,13 +12,13 @@
 
 from badgerseam.background import BackgroundTasks
 from badgerseam.classes.table import digest_of, to_record
-from badgerseam.cluster.membership import Member
+from badgerseam.cluster.membership import Membership
 from badgerseam.model.keys import CLASSES_KEY, LEADER_KEY, node_key
 from badgerseam.model.model import Model
-from badgerseam.model.state import Held, Present
+from badgerseam.model.state import ObservedClaim, ObservedController
 from badgerseam.options.classes import ClassesOptions
-from badgerseam.store.client import LeaseLost, Refused, Unavailable
-from badgerseam.store.committer import Committer, Dropped, Urgency
+from badgerseam.store.client import ConditionFailedError, LeaseExpiredError, StateUnavailableError
+from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
 from badgerseam.wire.classes import Objection
 
@@ -30,7 +30,7 @@
 
 
 def objections(
-    digest: str, order: list[str], nodes: dict[str, Present], missing: bool = True
+    digest: str, order: list[str], nodes: dict[str, ObservedController], missing: bool = True
 ) -> list[Objection]:
     """Which controllers do not have the classes of that digest in their options, and what they
     have; `missing`: those that are not there count."""
@@ -40,19 +40,21 @@
         if present is None:
             if missing:
                 found.append(Objection(name, "is down, or cut off from the state service"))
-        elif not present.claim.classes:
+        elif not present.record.classes_digest:
             found.append(Objection(name, "keeps no classes (no section classes in its options)"))
-        elif present.claim.classes != digest:
-            reason = f"has other classes in its options ({present.claim.classes}, not {digest})"
+        elif present.record.classes_digest != digest:
+            reason = (
+                f"has other classes in its options ({present.record.classes_digest}, not {digest})"
+            )
             found.append(Objection(name, reason))
     return found
 
 
 def conditions(
     order: list[str],
-    nodes: dict[str, Present],
+    nodes: dict[str, ObservedController],
     record: tuple[wire.StoredClasses, int] | None,
-    leader: Held | None = None,
+    leader: ObservedClaim | None = None,
 ) -> dict[str, int]:
     """The stamps on which a change of the record holds: its own, those of all controllers that
     were looked at, and the leader's claim where it is the leader that writes."""
@@ -64,11 +66,11 @@
     return found
 
 
-class Keeper:
+class ClassRecordKeeper:
     """Keeps the record in line with the options, while this controller leads."""
 
     def __init__(
-        self, model: Model, member: Member, committer: Committer, options: ClassesOptions
+        self, model: Model, member: Membership, committer: GroupCommitter, options: ClassesOptions
     ) -> None:
         self._model = model
         self._member = member
@@ -81,7 +83,7 @@
         self._told: tuple[Objection, ...] = ()
         self._tasks = BackgroundTasks()
 
-    def due(self) -> bool:
+    def is_update_due(self) -> bool:
         """Whether the options differ from those that the record was last made from. One that
         operators have set stands until the options change."""
         record = self._model.classes
@@ -89,7 +91,7 @@
 
     def objections(self) -> list[Objection]:
         """Who disagrees with this controller's options."""
-        return objections(self.digest, self._member.order, self._model.nodes)
+        return objections(self.digest, self._member.order, self._model.controllers)
 
     def review(self) -> None:
         """Called a few times a second, with the model's lock held."""
@@ -100,8 +102,10 @@
             self._told = ()
             return
         # Where nothing is to be written, one that is down is nobody who disagrees.
-        due = self.due()
-        found = tuple(objections(self.digest, self._member.order, self._model.nodes, missing=due))
+        due = self.is_update_due()
+        found = tuple(
+            objections(self.digest, self._member.order, self._model.controllers, missing=due)
+        )
         if found != self._told:
             self._told = found
             if found:
@@ -116,15 +120,20 @@
         model, member = self._model, self._member
         try:
             with model.lock:
-                leader = model.leader
+                leader = model.leader_claim
                 if leader is None or self.objections():
                     # Changed since the review that found nothing in the way.
                     return
-                when = conditions(member.order, model.nodes, model.classes, leader)
+                when = conditions(member.order, model.controllers, model.classes, leader)
                 at = round(self._clock.wall(), 3)
                 record = to_record(self._options, member.node, at, self.digest)
             await self._commit(record, when, Urgency.CLAIM)
-        except (Refused, Unavailable, Dropped, LeaseLost) as error:
+        except (
+            ConditionFailedError,
+            StateUnavailableError,
+            ProposalDroppedError,
+            LeaseExpiredError,
+        ) as error:
             # Whether it was applied, the replica will tell: nothing else is done on it.
             log.info("classes were not written: %r", error)
             self._not_before = self._clock.now() + PAUSE_S
@@ -139,12 +148,12 @@
             # Controllers that are down read the record when they come back.
             found = [
                 entry
-                for entry in objections(self.digest, member.order, model.nodes, missing=False)
-                if not model.nodes[entry.node].claim.classes
+                for entry in objections(self.digest, member.order, model.controllers, missing=False)
+                if not model.controllers[entry.node].record.classes_digest
             ]
             if found:
                 return found
-            when = conditions(member.order, model.nodes, model.classes)
+            when = conditions(member.order, model.controllers, model.classes)
             at = round(self._clock.wall(), 3)
             record = to_record(options, f"operator at {member.node}", at, self.digest)
         await self._commit(record, when, Urgency.USER)
--- a/badgerseam/classes/priority_inversions.py
+++ b/badgerseam/classes/priority_inversions.py
@@ -13,11 +13,11 @@
 
 from badgerseam.model.resources import Resources
 from badgerseam.sched import pts
-from badgerseam.sched.tentative_state import barred
+from badgerseam.sched.tentative_state import failed_job_predicates
 
 
 @dataclass(frozen=True, slots=True)
-class Jump:
+class PriorityInversion:
     """A start of one job on a machine, and the job that it went ahead of (indices)."""
 
     job: int
@@ -25,9 +25,9 @@
     ahead_of: int
 
 
-def jumps(
+def find_inversions(
     snapshot: pts.Snapshot, result: pts.Plan, rest: dict[int, int] | None = None
-) -> list[Jump]:
+) -> list[PriorityInversion]:
     """The jumps of a plan, one a start at most.
 
     `rest`: of each job, tasks that wait beyond those that its request asked for.
@@ -37,12 +37,12 @@
     waiting.update(rest or {})
     if not waiting or not result.starts:
         return []
-    first = min((requests[job].klass for job in waiting if job in requests), default=0)
+    first = min((requests[job].priority_class for job in waiting if job in requests), default=0)
     placed: dict[int, list[pts.Request]] = {}
     claimed = _claimed(snapshot, result, requests)
     for start, claims in zip(result.starts, claimed, strict=True):
         request = requests[start.job]
-        if request.klass > first and not claims:
+        if request.priority_class > first and not claims:
             placed.setdefault(start.node, []).append(request)
     if not placed:
         return []
@@ -60,24 +60,27 @@
                 room = node.free
                 for lower in starts:
                     if _before(other, lower):
-                        room = room.plus(lower.need)
+                        room = room.plus(lower.demand)
                 if (
-                    other.need.fits(room)
-                    and node.index not in other.shunned
-                    and not barred(other, node, zones.get(job, other.zones))
+                    other.demand.fits_in(room)
+                    and node.index not in other.avoided_machines
+                    and not failed_job_predicates(other, node, zones.get(job, other.zone_counts))
                     and _within_limit(result, other, request)
                     and not (
-                        other.gang and not _whole(other, placed, after, result.teams[other.team])
+                        other.gang
+                        and not _whole_gang_fits(other, placed, after, result.teams[other.team])
                     )
                 ):
-                    found.append(Jump(request.job, index, job))
+                    found.append(PriorityInversion(request.job, index, job))
                     break
     return found
 
 
 def _before(other: pts.Request, request: pts.Request) -> bool:
     return (
-        other.rank == request.rank and other.klass < request.klass and other.place < request.place
+        other.rank == request.rank
+        and other.priority_class < request.priority_class
+        and other.queue_position < request.queue_position
     )
 
 
@@ -90,13 +93,13 @@
     running = {task.key: task for node in snapshot.nodes for task in node.running}
     for stop in result.stops:
         victim = running[stop.key]
-        used[victim.team] = used[victim.team].minus(victim.need)
+        used[victim.team] = used[victim.team].minus(victim.demand)
     found: list[bool] = []
     gangs: dict[int, bool] = {}
     for start in result.starts:
         request = requests[start.job]
-        now = used[request.team].plus(request.need)
-        claims = now.fits(snapshot.teams[request.team].guarantee)
+        now = used[request.team].plus(request.demand)
+        claims = now.fits_in(snapshot.teams[request.team].guarantee)
         found.append(gangs.setdefault(start.job, claims) if request.gang else claims)
         used[request.team] = now
     return found
@@ -104,47 +107,47 @@
 
 def _within_limit(result: pts.Plan, other: pts.Request, request: pts.Request) -> bool:
     team = result.teams[other.team]
-    used = team.used.minus(request.need) if request.team == other.team else team.used
-    return used.plus(other.need).fits(team.limit)
+    used = team.used.minus(request.demand) if request.team == other.team else team.used
+    return used.plus(other.demand).fits_in(team.limit)
 
 
-def _whole(
+def _whole_gang_fits(
     other: pts.Request,
     placed: dict[int, list[pts.Request]],
-    after: dict[int, pts.Node],
+    after: dict[int, pts.MachineSnapshot],
     team: pts.TeamUse,
 ) -> bool:
     """Whether all of a gang would have had room without the lower starts."""
-    zones = dict(other.zones)
+    zones = dict(other.zone_counts)
     left = other.count
     lowers = [lower for starts in placed.values() for lower in starts if _before(other, lower)]
-    used = team.used.plus(other.need.times(left))
+    used = team.used.plus(other.demand.times(left))
     for lower in lowers:
         if lower.team == other.team:
-            used = used.minus(lower.need)
-    if not used.fits(team.limit):
+            used = used.minus(lower.demand)
+    if not used.fits_in(team.limit):
         return False
     for index, node in after.items():
         room: Resources = node.free
         for lower in placed.get(index, ()):
             if _before(other, lower):
-                room = room.plus(lower.need)
-        while left and other.need.fits(room) and node.index not in other.shunned:
-            if barred(other, node, zones):
+                room = room.plus(lower.demand)
+        while left and other.demand.fits_in(room) and node.index not in other.avoided_machines:
+            if failed_job_predicates(other, node, zones):
                 break
-            room = room.minus(other.need)
+            room = room.minus(other.demand)
             zones[node.zone] = zones.get(node.zone, 0) + 1
             left -= 1
     return left <= 0
 
 
 def _zones(
-    requests: dict[int, pts.Request], result: pts.Plan, after: dict[int, pts.Node]
+    requests: dict[int, pts.Request], result: pts.Plan, after: dict[int, pts.MachineSnapshot]
 ) -> dict[int, dict[str, int]]:
     """Where the tasks of jobs are after the plan, of those that it placed any of."""
     found: dict[int, dict[str, int]] = {}
     for start in result.starts:
-        zones = found.setdefault(start.job, dict(requests[start.job].zones))
+        zones = found.setdefault(start.job, dict(requests[start.job].zone_counts))
         zone = after[start.node].zone
         zones[zone] = zones.get(zone, 0) + 1
     return found
--- a/badgerseam/classes/table.py
+++ b/badgerseam/classes/table.py
@@ -8,13 +8,13 @@
 from badgerseam.wire import state as wire
 
 
-class Table:
+class ClassTable:
     """The site's classes, ready to be asked some thousand times a plan."""
 
     def __init__(self, record: wire.StoredClasses) -> None:
         self.names = [entry.name for entry in record.classes]
         self.age_s = record.age_s
-        self.held_s = record.held_s
+        self.held_s = record.max_hold_s
         self._jobs: dict[str, int] = {}
         self._teams: dict[str, int] = {}
         for number, entry in enumerate(record.classes):
@@ -25,14 +25,14 @@
         last = max(0, len(self.names) - 1)
         self._default = self.names.index(record.default) if record.default in self.names else last
 
-    def own(self, job_class: str, team: str) -> int:
+    def own_class(self, job_class: str, team: str) -> int:
         """The class that a job belongs to; the first one is 0."""
         found = self._jobs.get(job_class)
         if found is None:
             found = self._teams.get(team)
         return self._default if found is None else found
 
-    def counts_as(self, own: int, waited_s: float, tasks: int, started: int) -> int:
+    def effective_class(self, own: int, waited_s: float, tasks: int, started: int) -> int:
         """The class that a job counts as: one higher for each `age_s` it has waited since it was
         accepted, until half of its tasks have been started.
 
@@ -58,7 +58,7 @@
 def to_options(record: wire.StoredClasses) -> ClassesOptions:
     """A record in the form of the options, to be shown and set again."""
     order = [ClassOptions(entry.name, entry.jobs, entry.teams) for entry in record.classes]
-    return ClassesOptions(order, record.default, record.age_s, record.held_s)
+    return ClassesOptions(order, record.default, record.age_s, record.max_hold_s)
 
 
 def digest_of(options: ClassesOptions) -> str:
--- a/badgerseam/cli/__init__.py
+++ b/badgerseam/cli/__init__.py
@@ -101,14 +101,14 @@
     import uvloop
 
     from badgerseam.clock import Clock, make_random
-    from badgerseam.controller import Node
+    from badgerseam.controller import Controller
 
     # What a controller keeps lives long, so that circles in it are looked for more rarely than
     # after each 700 new objects: with the bound on plans a tenth less time on a long backlog.
     gc.set_threshold(20_000, 25, 25)
 
     async def serve() -> None:
-        await Node(settings, tunables, Clock(), make_random()).run()
+        await Controller(settings, tunables, Clock(), make_random()).run()
 
     try:
         uvloop.run(serve())
--- a/badgerseam/cli/classes.py
+++ b/badgerseam/cli/classes.py
@@ -6,7 +6,7 @@
 import sys
 from pathlib import Path
 
-from badgerseam.cli.client import Front, Unreachable, ask_options, tell
+from badgerseam.cli.client import ServiceClient, UnreachableError, ask_options, tell
 from badgerseam.cli.exits import EXIT_UNREACHABLE, EXIT_USAGE, fail
 from badgerseam.wire import classes as wire
 
@@ -37,8 +37,8 @@
             return fail(f"{options.file}: {error}", EXIT_USAGE)
         method, body = "POST", text.encode()
     try:
-        response = await Front(options.node, options.patience).ask(method, PATH, body)
-    except Unreachable as error:
+        response = await ServiceClient(options.node, options.patience).ask(method, PATH, body)
+    except UnreachableError as error:
         return fail(str(error), EXIT_UNREACHABLE)
     absent = "no classes are kept there (section classes of the options)"
     return tell(response, options, absent, lambda b: describe(wire.view_decoder.decode(b)))
--- a/badgerseam/cli/client.py
+++ b/badgerseam/cli/client.py
@@ -15,6 +15,7 @@
 
 from badgerseam.cli.exits import EXIT_FAILED, EXIT_OK, EXIT_UNREACHABLE, EXIT_USAGE, fail
 from badgerseam.cli.render import queue_table, why_text
+from badgerseam.errors import BadgerseamError
 from badgerseam.wire import explain
 
 if TYPE_CHECKING:
@@ -23,15 +24,15 @@
 NODES_VARIABLE = "BADGERSEAM_NODE"
 DEFAULT_NODE = "127.0.0.1:8080"
 RETRIED = (429, 502, 503, 504)
-LEAST_PAUSE_S = 1.0
-MOST_PAUSE_S = 30.0
+MIN_PAUSE_S = 1.0
+MAX_PAUSE_S = 30.0
 WATCH_S = 2.0
 PAGE = 200
 
 Commands = argparse._SubParsersAction
 
 
-class Unreachable(Exception):
+class UnreachableError(BadgerseamError):
     """No node answered in time; the message names them."""
 
 
@@ -85,51 +86,51 @@
     return EXIT_OK
 
 
-class Front:
+class ServiceClient:
     """Asks any of several nodes, as users of the protocol do: a request that was refused for now,
     or not answered, is repeated after a second or `Retry-After`, at the next node."""
 
     def __init__(self, nodes: str, patience_s: float) -> None:
         # The client commands that only print help need no tornado.
-        from badgerseam.http.client import Client
+        from badgerseam.http.client import HttpClient
 
         self._nodes = [node.strip() for node in nodes.split(",") if node.strip()]
         self._patience_s = patience_s
-        self._http = Client()
+        self._http = HttpClient()
 
     async def ask(
         self, method: str, path: str, body: bytes | None = None, deadline_s: float = 5.0
     ) -> Response:
         """The first answer that is final, or the last refusal; Unreachable if there was none."""
-        from badgerseam.http.client import NoResponse
+        from badgerseam.http.client import NoResponseError
 
         if not self._nodes:
-            raise Unreachable("--node: no address is given")
+            raise UnreachableError("--node: no address is given")
         until = time.monotonic() + self._patience_s
         turn = 0
         while True:
             node = self._nodes[turn % len(self._nodes)]
             turn += 1
             refusal: Response | None = None
-            pause = LEAST_PAUSE_S
+            pause = MIN_PAUSE_S
             try:
                 refusal = await self._http.request(node, method, path, body, deadline_s)
                 if refusal.status not in RETRIED:
                     return refusal
                 if refusal.retry_after is not None and refusal.retry_after.isdecimal():
-                    pause = min(max(pause, float(refusal.retry_after)), MOST_PAUSE_S)
+                    pause = min(max(pause, float(refusal.retry_after)), MAX_PAUSE_S)
             except ValueError as error:
-                raise Unreachable(
+                raise UnreachableError(
                     f"--node: {node!r} is not an address such as {DEFAULT_NODE}"
                 ) from error
-            except NoResponse:
+            except NoResponseError:
                 if turn < len(self._nodes):
                     # Another node may be there at once.
                     pause = 0.0
             if time.monotonic() + pause > until:
                 if refusal is not None:
                     return refusal
-                raise Unreachable(f"{', '.join(self._nodes)} cannot be reached")
+                raise UnreachableError(f"{', '.join(self._nodes)} cannot be reached")
             await asyncio.sleep(pause)
 
 
@@ -137,18 +138,18 @@
     """Carry out one of the commands; the exit code."""
     if options.patience < 0:
         return fail("--patience: a number of seconds, 0 to ask once", EXIT_USAGE)
-    front = Front(options.node, options.patience)
+    front = ServiceClient(options.node, options.patience)
     try:
         if options.command == "queue":
             return await _queue(front, options)
         if options.command == "why" and options.watch:
             return await _watch(front, options)
         return await _ask(front, options)
-    except Unreachable as error:
+    except UnreachableError as error:
         return fail(str(error), EXIT_UNREACHABLE)
 
 
-async def _ask(front: Front, options: argparse.Namespace) -> int:
+async def _ask(front: ServiceClient, options: argparse.Namespace) -> int:
     method, path, body = "GET", "/ready", None
     if options.command == "submit":
         try:
@@ -188,7 +189,7 @@
         return f"{response.status}: {response.body.decode(errors='replace')[:300]}"
 
 
-async def _watch(front: Front, options: argparse.Namespace) -> int:
+async def _watch(front: ServiceClient, options: argparse.Namespace) -> int:
     """Print the answer each time that what holds the job back has changed, until it has ended."""
     before: object = None
     while True:
@@ -209,7 +210,7 @@
         await asyncio.sleep(WATCH_S)
 
 
-async def _queue(front: Front, options: argparse.Namespace) -> int:
+async def _queue(front: ServiceClient, options: argparse.Namespace) -> int:
     lines: list[explain.QueueLine] = []
     after = ""
     while True:
--- a/badgerseam/cli/lab.py
+++ b/badgerseam/cli/lab.py
@@ -131,12 +131,12 @@
 def _cost(options: argparse.Namespace) -> int:
     import msgspec
 
-    from badgerseam.lab.cost_measurements import measure_book, measure_queue, measure_why
+    from badgerseam.lab.cost_measurements import measure_history, measure_queue, measure_why
 
     if options.order != "why-cost":
         if options.jobs < 1:
             return fail("--jobs: at least 1", EXIT_USAGE)
-        measure = measure_queue if options.order == "queue-cost" else measure_book
+        measure = measure_queue if options.order == "queue-cost" else measure_history
         print(json.dumps(msgspec.to_builtins(measure(options.jobs, options.seed)), indent=2))
         return EXIT_OK
     if options.machines < 1 or options.tasks < 1:
@@ -157,8 +157,8 @@
 async def _up(options: argparse.Namespace) -> int:
     from badgerseam import logs
     from badgerseam.clock import Clock
-    from badgerseam.lab.control_endpoint import ControlPort
-    from badgerseam.lab.fault_injector import Breaker
+    from badgerseam.lab.control_endpoint import ControlEndpoint
+    from badgerseam.lab.fault_injector import FaultInjector
     from badgerseam.lab.lab import Lab, free_ports, read_card
     from badgerseam.lab.site import load_site
 
@@ -178,7 +178,7 @@
         if lab.started:
             _clean(options.dir)
         raise
-    control = ControlPort(lab, Breaker(lab))
+    control = ControlEndpoint(lab, FaultInjector(lab))
     try:
         port = free_ports(1)[0]
         control.listen(port)
@@ -204,7 +204,7 @@
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(stop.wait(), 0.5)
         waiting.cancel()
-        breaches = lab.breaches()
+        breaches = lab.violations()
     finally:
         stopping.cancel()
         control.stop()
@@ -222,11 +222,11 @@
     from badgerseam.clock import Clock
     from badgerseam.lab.demo import demo
     from badgerseam.lab.lab import Lab
-    from badgerseam.lab.site import Site
+    from badgerseam.lab.site import SiteSpec
 
     logs.configure("error")
     options.dir.mkdir(parents=True, exist_ok=True)
-    lab = Lab(Site(), options.dir, Clock(), Random(1), 0, _options_file(options.dir))
+    lab = Lab(SiteSpec(), options.dir, Clock(), Random(1), 0, _options_file(options.dir))
     try:
         await lab.start()
         await demo(lab, lambda text: print(f"{text}\n", flush=True))
@@ -253,7 +253,7 @@
     from badgerseam.lab.experiment import load_experiment, play
     from badgerseam.lab.lab import Lab
     from badgerseam.lab.report import write_report
-    from badgerseam.lab.site import Site
+    from badgerseam.lab.site import SiteSpec
 
     logs.configure("error")
     experiment = load_experiment(options.experiment)
@@ -261,7 +261,7 @@
     out = Path(options.out or Path(options.experiment).with_suffix("").as_posix() + "-report")
     out.mkdir(parents=True, exist_ok=True)
     lab = Lab(
-        experiment.site or Site(),
+        experiment.site or SiteSpec(),
         out.resolve(),
         Clock(),
         Random(seed),
@@ -377,7 +377,7 @@
 
 async def _order(options: argparse.Namespace) -> int:
     """Send an order to the running lab."""
-    from badgerseam.http.client import Client, NoResponse
+    from badgerseam.http.client import HttpClient, NoResponseError
     from badgerseam.lab.lab import LabError, read_card
 
     address = read_card(options.dir).get("control")
@@ -391,14 +391,14 @@
         body = json.dumps({name: getattr(options, name) for name in names}).encode()
     reading = options.order in ("status", "check")
     try:
-        response = await Client().request(
+        response = await HttpClient().request(
             address,
             "GET" if reading else "POST",
             f"/{options.order}",
             None if reading else body,
             5.0,
         )
-    except NoResponse:
+    except NoResponseError:
         return fail(f"the lab at {address} does not answer", EXIT_UNREACHABLE)
     answer = json.loads(response.body)
     if response.status != 200:
--- a/badgerseam/cli/render.py
+++ b/badgerseam/cli/render.py
@@ -5,7 +5,7 @@
 import shutil
 import textwrap
 
-from badgerseam.explain.text import counted
+from badgerseam.explain.text import pluralize
 from badgerseam.wire.explain import QueueLine, Reason, Why
 
 STATES = {
@@ -41,13 +41,13 @@
     for group in answer.groups:
         alone = group.tasks == 1
         what = STATES[group.state][alone]
-        lines.append(f"  {counted(group.tasks, 'task')} {what}")
+        lines.append(f"  {pluralize(group.tasks, 'task')} {what}")
         for reason in group.reasons:
             lines += _reason(reason)
     if answer.ahead is not None and answer.ahead.jobs:
         ahead = answer.ahead
         more = " ..." if ahead.jobs > len(ahead.first) else ""
-        text = f"Before it: {counted(ahead.jobs, 'job')} with {counted(ahead.tasks, 'task')} "
+        text = f"Before it: {pluralize(ahead.jobs, 'job')} with {pluralize(ahead.tasks, 'task')} "
         text += f"({', '.join(ahead.first)}"
         lines += textwrap.wrap(
             f"{text}{more})", width(), initial_indent="  ", subsequent_indent="    "
--- a/badgerseam/cli/rollout.py
+++ b/badgerseam/cli/rollout.py
@@ -7,12 +7,12 @@
 import shlex
 from typing import TYPE_CHECKING
 
-from badgerseam.cli.client import Front, Unreachable, ask_options, refusal, tell
+from badgerseam.cli.client import ServiceClient, UnreachableError, ask_options, refusal, tell
 from badgerseam.cli.exits import EXIT_FAILED, EXIT_OK, EXIT_UNREACHABLE, EXIT_USAGE, fail
 from badgerseam.wire import rollout as wire
 
 if TYPE_CHECKING:
-    from badgerseam.rollout.rolling_update import Limits
+    from badgerseam.rollout.rolling_update import StepTimeouts
 
 Commands = argparse._SubParsersAction
 PATH = "/rollout"
@@ -54,7 +54,7 @@
         return fail("--patience: a number of seconds, 0 to ask once", EXIT_USAGE)
     if options.order in ("leave", "return") and "," in options.node:
         return fail("--node: the one controller that is meant", EXIT_USAGE)
-    front = Front(options.node, options.patience)
+    front = ServiceClient(options.node, options.patience)
     try:
         if options.order in ("run", "plan"):
             return await _roll(options)
@@ -62,12 +62,12 @@
             return await _tell(front, options, "GET", PATH, None)
         if options.order in ("leave", "return"):
             return await _tell(front, options, "POST", f"{PATH}/{options.order}", b"{}")
-        return await _aim(front, options)
-    except Unreachable as error:
+        return await _set_target(front, options)
+    except UnreachableError as error:
         return fail(str(error), EXIT_UNREACHABLE)
 
 
-async def _aim(front: Front, options: argparse.Namespace) -> int:
+async def _set_target(front: ServiceClient, options: argparse.Namespace) -> int:
     """Say which level is wanted."""
     level: int | None = getattr(options, "to", None)
     if level is not None and level < 1:
@@ -84,12 +84,12 @@
             return fail(f"--to: the site is at level {now}: a level below it", EXIT_USAGE)
     elif level is not None and level <= now:
         return fail(f"--to: the site is at level {now}: a level above it", EXIT_USAGE)
-    body = wire.encode(wire.Wish(level))
+    body = wire.encode(wire.LevelRequest(level))
     return await _tell(front, options, "POST", f"{PATH}/target", body)
 
 
 async def _tell(
-    front: Front, options: argparse.Namespace, method: str, path: str, body: bytes | None
+    front: ServiceClient, options: argparse.Namespace, method: str, path: str, body: bytes | None
 ) -> int:
     response = await front.ask(method, path, body)
     absent = "rollouts are switched off there (section rollout of the options)"
@@ -105,27 +105,32 @@
         lines.append(f"next: level {view.next}" + (", blocked" if view.blocked_by else ""))
     lines += [f"  {entry.node or 'this site'}: {entry.reason}" for entry in view.blocked_by]
     for entry in view.controllers:
-        reads = "" if entry.least is None else f"reads levels {entry.least} to {entry.most}"
-        shares = " ".join(map(str, entry.shares)) or "none"
+        reads = (
+            ""
+            if entry.min_level is None
+            else f"reads levels {entry.min_level} to {entry.max_level}"
+        )
+        shards = " ".join(map(str, entry.shards)) or "none"
         leads = ", leads" if entry.leader else ""
         program = f" ({entry.program})" if entry.program else ""
-        lines.append(f"{entry.node:<12} {entry.state:<8} shares {shares}{leads} {reads}{program}")
-    if view.shares_without_actor:
-        lines.append(f"without an actor: shares {view.shares_without_actor}")
+        lines.append(f"{entry.node:<12} {entry.state:<8} shares {shards}{leads} {reads}{program}")
+    if view.shards_without_actor:
+        lines.append(f"without an actor: shares {view.shards_without_actor}")
     own = view.own
     lines.append(
         f"{own.node} itself: {own.state}{', may be ended' if own.may_end else ''}, "
-        f"{'caught up' if own.caught_up else 'behind'}, hears {own.heard} of {own.machines} "
+        f"{'caught up' if own.caught_up else 'behind'}, hears "
+        f"{own.responsive_machines} of {own.machines} "
         f"machines, up for {own.uptime_s:.0f} s"
     )
-    carrying = own.carrying
+    carrying = own.migration
     if carrying.pending:
         lines.append(
             f"carrying records over to level {carrying.pending[0]}: {carrying.rewritten} written "
             f"anew by this controller, {carrying.per_s:g} a second; this pass: {carrying.scanned} "
             f"looked at, {carrying.old} in the older form"
         )
-    done = own.refreshing
+    done = own.refresh
     lines.append(
         f"rows in the older form: {done.lacking} of {done.rows}; {done.pages_written} pages "
         "written for that"
@@ -133,7 +138,7 @@
     return "\n".join(lines)
 
 
-class Platform:
+class CommandRolloutTarget:
     """A site whose processes are replaced by a command of the operators."""
 
     def __init__(self, addresses: dict[str, str], command: str, patience_s: float) -> None:
@@ -145,9 +150,9 @@
         """How a controller sees the site; None if it does not answer."""
         return await ask_view(self._addresses[node])
 
-    async def leave(self, node: str) -> str | None:
+    async def drain(self, node: str) -> str | None:
         """Ask a controller to leave; why it refused, or None."""
-        front = Front(self._addresses[node], self._patience_s)
+        front = ServiceClient(self._addresses[node], self._patience_s)
         response = await front.ask("POST", f"{PATH}/leave", b"{}")
         return None if response.status == 200 else refusal(response)
 
@@ -167,15 +172,20 @@
     import msgspec
 
     try:
-        response = await Front(address, 0.0).ask("GET", PATH, None, 2.0)
+        response = await ServiceClient(address, 0.0).ask("GET", PATH, None, 2.0)
         return wire.view_decoder.decode(response.body) if response.status == 200 else None
-    except (Unreachable, msgspec.DecodeError):
+    except (UnreachableError, msgspec.DecodeError):
         return None
 
 
 async def _roll(options: argparse.Namespace) -> int:
     from badgerseam.clock import Clock
-    from badgerseam.rollout.rolling_update import Choreography, Limits, Stopped, order
+    from badgerseam.rollout.rolling_update import (
+        RollingUpdate,
+        RolloutStoppedError,
+        StepTimeouts,
+        update_order,
+    )
 
     addresses: dict[str, str] = {}
     for address in options.node.split(","):
@@ -185,18 +195,18 @@
             return fail(f"--node: {address.strip()} {text}", EXIT_UNREACHABLE)
         addresses[view.own.node] = address.strip()
     command = getattr(options, "replace", "")
-    platform = Platform(addresses, command, options.patience)
+    platform = CommandRolloutTarget(addresses, command, options.patience)
     try:
         if options.order == "plan":
-            for step, node in enumerate(await order(platform, list(addresses)), 1):
+            for step, node in enumerate(await update_order(platform, list(addresses)), 1):
                 print(f"{step}. {node} ({addresses[node]}) leaves, is replaced, acts again")
             found = await platform.view(next(iter(addresses)))
             if found is not None:
                 print(describe(found))
             return EXIT_OK
-        limits: Limits = Limits(options.leave_s, options.back_s, options.steady_s)
-        await Choreography(platform, Clock(), print, limits).run(list(addresses))
-    except Stopped as stopped:
+        limits: StepTimeouts = StepTimeouts(options.leave_s, options.back_s, options.steady_s)
+        await RollingUpdate(platform, Clock(), print, limits).run(list(addresses))
+    except RolloutStoppedError as stopped:
         return fail(f"stopped: {stopped}", EXIT_FAILED)
     except (KeyError, IndexError, ValueError) as error:
         return fail(f"--replace: {error}: only {{node}} and {{address}} are filled in", EXIT_USAGE)
--- a/badgerseam/cli/runs.py
+++ b/badgerseam/cli/runs.py
@@ -6,7 +6,7 @@
 import time
 from urllib.parse import urlencode
 
-from badgerseam.cli.client import Front, Unreachable, ask_options, refusal
+from badgerseam.cli.client import ServiceClient, UnreachableError, ask_options, refusal
 from badgerseam.cli.exits import EXIT_FAILED, EXIT_OK, EXIT_UNREACHABLE, EXIT_USAGE, fail
 from badgerseam.wire import runs as wire
 
@@ -44,14 +44,14 @@
         if not plan or not number.isdecimal():
             return fail("run: plan and number, such as renewal/12", EXIT_USAGE)
         path = f"{PATH}/{plan}/{number}"
-    front = Front(options.node, options.patience)
+    front = ServiceClient(options.node, options.patience)
     try:
         if options.order == "members":
             return await _members(front, options, path)
         method = "POST" if options.order == "close" else "GET"
         body = b"{}" if options.order == "close" else None
         response = await front.ask(method, path + ("/close" if body else ""), body)
-    except Unreachable as error:
+    except UnreachableError as error:
         return fail(str(error), EXIT_UNREACHABLE)
     if response.status != 200:
         return fail(_refusal(response.status, refusal(response)), EXIT_FAILED)
@@ -74,7 +74,7 @@
     return text
 
 
-async def _members(front: Front, options: argparse.Namespace, path: str) -> int:
+async def _members(front: ServiceClient, options: argparse.Namespace, path: str) -> int:
     if options.limit is not None and options.limit < 1:
         return fail("--limit: 1 or more", EXIT_USAGE)
     left: int | None = options.limit
--- a/badgerseam/cluster/availability.py
+++ b/badgerseam/cluster/availability.py
@@ -5,10 +5,10 @@
 from enum import Enum
 
 
-class Away(Enum):
+class UnavailableReason(Enum):
     """Why this controller takes no share, and others are to act for it."""
 
-    DEAF = "hears no worker"
-    LEAVING = "was asked to leave"
-    BLIND = "does not follow the changes"
-    UNFIT = "does not fit the site's level"
+    NO_HEARTBEATS = "hears no worker"
+    DRAINING = "was asked to leave"
+    WATCH_STALLED = "does not follow the changes"
+    UNSUPPORTED_LEVEL = "does not fit the site's level"
--- a/badgerseam/cluster/claims.py
+++ b/badgerseam/cluster/claims.py
@@ -5,18 +5,18 @@
 import logging
 from collections.abc import Callable
 
-from badgerseam.store.client import Refused, StateClient, Unavailable
-from badgerseam.store.committer import Committer, Urgency
+from badgerseam.store.client import ConditionFailedError, StateClient, StateUnavailableError
+from badgerseam.store.committer import GroupCommitter, Urgency
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.cluster")
 
-REMOVAL_S = 5.0
+REMOVAL_DEADLINE_S = 5.0
 
 
 async def remove_claim(
     state: StateClient,
-    committer: Committer,
+    committer: GroupCommitter,
     key: str,
     version: int,
     insist: Callable[[], bool],
@@ -26,11 +26,11 @@
     removal = [wire.Write(delete=key)]
     while True:
         try:
-            await committer.commit(Urgency.CLAIM, {key: version}, removal, REMOVAL_S)
+            await committer.commit(Urgency.CLAIM, {key: version}, removal, REMOVAL_DEADLINE_S)
             return
-        except Refused:
+        except ConditionFailedError:
             return
-        except Unavailable:
+        except StateUnavailableError:
             log.debug("%s: not removed", key)
         if not insist():
             return
--- a/badgerseam/cluster/heartbeat_proxy.py
+++ b/badgerseam/cluster/heartbeat_proxy.py
@@ -26,17 +26,22 @@
 from collections.abc import Callable
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.membership import Member
-from badgerseam.cluster.partition import Island
+from badgerseam.cluster.membership import Membership
+from badgerseam.cluster.partition import PartitionedOperation
 from badgerseam.model.job import Phase
-from badgerseam.model.keys import deputy_key, node_key
+from badgerseam.model.keys import node_key, proxy_key
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
-from badgerseam.model.state import STALE_S, Share
-from badgerseam.store.client import LeaseLost, Refused, StateClient, Unavailable
-from badgerseam.store.committer import Committer, Dropped, Urgency
+from badgerseam.model.state import STALE_S, Shard
+from badgerseam.store.client import (
+    ConditionFailedError,
+    LeaseExpiredError,
+    StateClient,
+    StateUnavailableError,
+)
+from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
-from badgerseam.wire.workers import Report
+from badgerseam.wire.workers import Heartbeat
 
 log = logging.getLogger("badgerseam.cluster")
 
@@ -47,19 +52,19 @@
 DEADLINE_S = 2.0
 
 
-class Deputies:
+class HeartbeatProxy:
     """Both sides: standing in for owners, and counting with siblings that do."""
 
     def __init__(
         self,
         model: Model,
-        member: Member,
+        member: Membership,
         state: StateClient,
-        committer: Committer,
+        committer: GroupCommitter,
         ttl_s: float,
         unreachable: Callable[[str], bool],
     ) -> None:
-        self.island = Island(model, member, self.counted_in)
+        self.partition = PartitionedOperation(model, member, self.is_counted_on_in)
         self._model = model
         self._member = member
         self._state = state
@@ -84,7 +89,7 @@
         """Owners that our record names, while we may act on it."""
         self._announced_on: int | None = None
         """The lease that this record stands on."""
-        self.ends_early = False
+        self.leases_may_end_early = False
         """Whether siblings' leases are ended before their time here."""
         self._loads = 0
         self._open: tuple[int, int, frozenset[str]] | None = None
@@ -95,20 +100,20 @@
 
     # ---- as a deputy ----
 
-    def stands_in(self, share: Share, zone: str) -> bool:
+    def is_proxy_for(self, shard: Shard, zone: str) -> bool:
         """Whether we answer reports of the share's workers in a zone in its owner's place."""
-        held, member = share.held, self._member
-        if held is None or held.claim.node == member.node:
+        held, member = shard.claim, self._member
+        if held is None or held.record.node == member.node:
             return False
-        if not self._unreachable(held.claim.node):
+        if not self._unreachable(held.record.node):
             return False
-        if not member.may_renew:
+        if not member.may_renew_worker_leases:
             return False
-        if held.claim.node in self._announced and member.connected:
-            return self._model.up_to_date and self._announced_on == member.lease
-        return self.counted_in(zone)
+        if held.record.node in self._announced and member.lease_is_current:
+            return self._model.is_up_to_date and self._announced_on == member.lease
+        return self.is_counted_on_in(zone)
 
-    def launch_held(self, machine: Machine, report: Report) -> bool:
+    def launch_may_be_delayed(self, machine: Machine, report: Heartbeat) -> bool:
         """Whether a launch of a cancelled task may be held back on its way to a machine, and a
         lease that we renew would keep its token and session valid beyond the time for that task.
 
@@ -118,33 +123,37 @@
         """
         model = self._model
         # What we follow is up to STALE_S old when we act on it.
-        over = self._clock.now() - (model.known_bound_s - STALE_S)
+        over = self._clock.now() - (model.stale_renewal_bound_s - STALE_S)
         shown = {(item.task, item.attempt) for item in report.tasks}
         return any(
-            attempt.job.phase == Phase.WITHDRAWN
+            attempt.job.phase == Phase.CANCELLED
             and attempt.job.ended_at < over
             and (attempt.name, attempt.number) not in shown
             for attempt in machine.attempts.values()
         )
 
-    def counted_in(self, zone: str) -> bool:
+    def is_counted_on_in(self, zone: str) -> bool:
         """Whether owners count with our answers in a zone without a word of ours: our record must
         have ended with its lease, and the bound must not."""
         member = self._member
-        return zone == self._zone and not member.fresh(self._ttl_s + SLACK_S) and member.may_renew
+        return (
+            zone == self._zone
+            and not member.lease_confirmed_within(self._ttl_s + SLACK_S)
+            and member.may_renew_worker_leases
+        )
 
     def review(self) -> None:
         """Say that we stand in, or that we don't any more; called a few times a second."""
         model, member = self._model, self._member
-        if not model.loaded or self._writing or not member.connected:
+        if not model.loaded or self._writing or not member.lease_is_current:
             return
         wanted = frozenset(
-            name for name in self._siblings if name in model.nodes and self._unreachable(name)
+            name for name in self._siblings if name in model.controllers and self._unreachable(name)
         )
-        known = model.deputies.get(member.node)
+        known = model.proxies.get(member.node)
         named: frozenset[str] = frozenset()
-        if known is not None and known.claim.lease == member.lease:
-            named = frozenset(known.claim.owners)
+        if known is not None and known.record.lease == member.lease:
+            named = frozenset(known.record.owners)
         # From here on nothing is answered for one that is to be named no more, whatever becomes of
         # the write.
         self._announced = wanted & named
@@ -156,13 +165,13 @@
             self._announced &= lost[2]
         if (wanted != named or lost is not None) and member.lease is not None:
             self._writing = True
-            self._tasks.spawn(self._say(wanted, member.lease, stamp))
+            self._tasks.spawn(self._write_record(wanted, member.lease, stamp))
 
-    async def _say(self, owners: frozenset[str], lease: int, version: int) -> None:
+    async def _write_record(self, owners: frozenset[str], lease: int, version: int) -> None:
         # A record is never taken away, except by the end of its lease: one that came and went
         # between two looks would leave no trace.
-        key = deputy_key(self._member.node)
-        record = wire.Deputy(self._member.node, lease, sorted(owners))
+        key = proxy_key(self._member.node)
+        record = wire.ProxyRecord(self._member.node, lease, sorted(owners))
         write = wire.Write(put=key, value=wire.raw(record), lease=lease)
         try:
             revision = await self._committer.commit(
@@ -175,9 +184,14 @@
             with self._model.lock:
                 self._model.apply(key, write.value, revision)
             log.info("standing in for %s", " ".join(sorted(owners)) or "nobody any more")
-        except (Refused, Unavailable, Dropped, LeaseLost) as error:
+        except (
+            ConditionFailedError,
+            StateUnavailableError,
+            ProposalDroppedError,
+            LeaseExpiredError,
+        ) as error:
             log.debug("%s: not written: %r", key, error)
-            if isinstance(error, Unavailable | Refused):
+            if isinstance(error, StateUnavailableError | ConditionFailedError):
                 # Refused, it may have been carried out without an answer: until the replica shows
                 # it, owners may count without us as well.
                 before = self._open
@@ -189,11 +203,11 @@
 
     # ---- as an owner ----
 
-    def look(self) -> None:
+    def observe_peers(self) -> None:
         """Take note of the siblings' records; called a few times a second."""
         model, member = self._model, self._member
         now = self._clock.now()
-        if not member.fresh(self._ttl_s / 2):
+        if not member.lease_confirmed_within(self._ttl_s / 2):
             self._parted = True
         elif self._parted:
             # If it was an outage, every lease has had its full time again, a sibling's that is cut
@@ -202,33 +216,35 @@
             for name in self._siblings:
                 self._apart[name] = max(self._apart.get(name, now), now + self._ttl_s + SLACK_S)
         # A replica that was read anew does not tell what came and went before.
-        reloaded, self._loads = self._loads != model.loads, model.loads
+        reloaded, self._loads = self._loads != model.load_count, model.load_count
         for name in self._siblings:
-            node, deputy = model.nodes.get(name), model.deputies.get(name)
+            node, deputy = model.controllers.get(name), model.proxies.get(name)
             mark = (0 if node is None else node.version, 0 if deputy is None else deputy.version)
             if reloaded or self._marks.get(name, (-1, 0))[0] != mark[0]:
                 # Back with a record of its own, it has the state service again.
-                self._apart[name] = now + (0.0 if node is not None else model.cut_bound_s)
+                self._apart[name] = now + (0.0 if node is not None else model.partition_bound_s)
             self._marks[name] = mark
-            named_at = model.stood_in.get((name, member.node), 0)
-            still = deputy is not None and member.node in deputy.claim.owners
+            named_at = model.proxy_bounds.get((name, member.node), 0)
+            still = deputy is not None and member.node in deputy.record.owners
             before = self._named.get(name)
             if reloaded or still or before != (named_at, still):
                 # It does, or did since the last look. Where its record went with its lease, that
                 # may have been ended early (badgerseam/standby/failure_detector.py), and it acts
                 # on the record
                 # for as long as the lease would have lasted. Read anew, that may go unseen.
-                gone = deputy is None and (self.ends_early if reloaded else before is not None)
+                gone = deputy is None and (
+                    self.leases_may_end_early if reloaded else before is not None
+                )
                 late = self._ttl_s + SLACK_S if gone else 0.0
                 self._named_until = max(self._named_until, now + late)
             self._named[name] = named_at, still
 
-    def renewed_until(self, zone: str) -> float:
+    def leases_renewed_until(self, zone: str) -> float:
         """Until when somebody may have renewed leases of ours in a zone."""
         apart = (self._apart[name] for name, near in self._siblings.items() if near == zone)
         return max(self._named_until, max(apart, default=-1e9))
 
-    def certain_since(self, at: float) -> bool:
+    def confirmed_since(self, at: float) -> bool:
         """Whether what is known of the siblings was true at that time; asks if not."""
         if not self._siblings:
             return True
@@ -247,10 +263,10 @@
         conditions = []
         for name, (node, deputy) in marks.items():
             conditions.append(wire.Condition(node_key(name), node))
-            conditions.append(wire.Condition(deputy_key(name), deputy))
+            conditions.append(wire.Condition(proxy_key(name), deputy))
         try:
-            await self._state.transact(conditions, [], DEADLINE_S)
-        except (Refused, Unavailable) as error:
+            await self._state.compare_and_swap(conditions, [], DEADLINE_S)
+        except (ConditionFailedError, StateUnavailableError) as error:
             log.debug("siblings' records not confirmed: %r", error)
             return
         if marks == self._marks:
--- a/badgerseam/cluster/membership.py
+++ b/badgerseam/cluster/membership.py
@@ -8,16 +8,21 @@
 
 from badgerseam import __version__
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.availability import Away
+from badgerseam.cluster.availability import UnavailableReason
 from badgerseam.cluster.claims import remove_claim
-from badgerseam.cluster.registration import write_own
-from badgerseam.cluster.takeover_checks import Gatekeeper
+from badgerseam.cluster.registration import write_controller_record
+from badgerseam.cluster.takeover_checks import TakeoverChecks
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.model import Model
-from badgerseam.model.state import Held, Share
+from badgerseam.model.state import ObservedClaim, Shard
 from badgerseam.settings import Tunables
-from badgerseam.store.client import LeaseLost, Refused, StateClient, Unavailable
-from badgerseam.store.committer import Committer, Dropped, Urgency
+from badgerseam.store.client import (
+    ConditionFailedError,
+    LeaseExpiredError,
+    StateClient,
+    StateUnavailableError,
+)
+from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.cluster")
@@ -34,19 +39,19 @@
 """How long a returned controller has to be alive before it gets its share back."""
 
 
-AskToTake = Callable[[str, str, int], Awaitable[bool | None]]
+RequestTakeover = Callable[[str, str, int], Awaitable[bool | None]]
 """Asks a sibling to take a claim of ours over under its stamp: whether it says that it has; None if
 it cannot be asked."""
 
 
-class Member:
+class Membership:
     """This controller's place among the controllers."""
 
     def __init__(
         self,
         model: Model,
         state: StateClient,
-        committer: Committer,
+        committer: GroupCommitter,
         tunables: Tunables,
         changed: Callable[[], None],
     ) -> None:
@@ -62,12 +67,12 @@
         self.lease: int | None = None
         self.confirmed_at = -1e9
         """Sending time of the last confirmed renewal."""
-        self._away: set[Away] = set()
+        self._away: set[UnavailableReason] = set()
         self.classes_digest = ""
         """Of the priority classes in our options, told with our record."""
-        self.ask_to_take: AskToTake | None = None
-        self.gate: Gatekeeper | None = None
-        self.doubts: set[str] = set()
+        self.request_takeover: RequestTakeover | None = None
+        self.takeover_checks: TakeoverChecks | None = None
+        self.suspected: set[str] = set()
         """Siblings that our own record asks for a sign of life."""
         self._present = False
         self._announced_at = -1e9
@@ -80,37 +85,37 @@
     # ---- what others ask ----
 
     @property
-    def deaf(self) -> bool:
+    def hears_no_workers(self) -> bool:
         """No worker reaches us: others are to act for our shares."""
-        return Away.DEAF in self._away
+        return UnavailableReason.NO_HEARTBEATS in self._away
 
-    def away(self, why: Away) -> bool:
+    def is_unavailable(self, why: UnavailableReason) -> bool:
         """Whether that is a reason for which we take no share."""
         return why in self._away
 
     @property
     def is_leader(self) -> bool:
-        held = self._model.leader
+        held = self._model.leader_claim
         return (
             held is not None
             and self._is_mine(held)
-            and self.connected
+            and self.lease_is_current
             # What the model showed when it was left alone may be long past.
-            and Away.UNFIT not in self._away
-            and (self.gate is None or self.gate.leads(held))
+            and UnavailableReason.UNSUPPORTED_LEVEL not in self._away
+            and (self.takeover_checks is None or self.takeover_checks.may_act_as_leader(held))
         )
 
-    def fresh(self, seconds: float) -> bool:
+    def lease_confirmed_within(self, seconds: float) -> bool:
         """Whether the state service confirmed our lease that recently."""
         return self.lease is not None and self._clock.now() - self.confirmed_at < seconds
 
     @property
-    def connected(self) -> bool:
+    def lease_is_current(self) -> bool:
         """Whether the state service has renewed our lease within its time."""
-        return self.fresh(self.claim_ttl_s)
+        return self.lease_confirmed_within(self.claim_ttl_s)
 
     @property
-    def may_renew(self) -> bool:
+    def may_renew_worker_leases(self) -> bool:
         """Whether leases of workers may be renewed here, whoever owns them.
 
         That the state service has confirmed our lease tells nothing of what it holds: a controller
@@ -119,18 +124,28 @@
         """
         model = self._model
         known_s = self._clock.now() - model.followed_at
-        return self.fresh(model.cut_bound_s) and known_s < model.known_bound_s
+        return (
+            self.lease_confirmed_within(model.partition_bound_s)
+            and known_s < model.stale_renewal_bound_s
+        )
 
-    def entitled(self, share: Share) -> bool:
+    def holds_lease_for(self, shard: Shard) -> bool:
         """Whether reports of the share's workers may be answered."""
-        held = share.held
-        return share.owned and held is not None and held.version == share.term and self.may_renew
+        held = shard.claim
+        return (
+            shard.owned
+            and held is not None
+            and held.version == shard.term
+            and self.may_renew_worker_leases
+        )
 
-    def home(self, share: Share) -> str:
-        return self.order[share.index % len(self.order)]
+    def home_of(self, shard: Shard) -> str:
+        return self.order[shard.index % len(self.order)]
 
-    def _is_mine(self, held: Held | None) -> bool:
-        return held is not None and held.claim.node == self.node and held.claim.lease == self.lease
+    def _is_mine(self, held: ObservedClaim | None) -> bool:
+        return (
+            held is not None and held.record.node == self.node and held.record.lease == self.lease
+        )
 
     # ---- the lease ----
 
@@ -146,14 +161,14 @@
                     self._present = False
                     log.info("%s holds lease %d", self.node, lease)
                 else:
-                    await self._state.extend(self.lease, self.claim_ttl_s / 3)
+                    await self._state.renew(self.lease, self.claim_ttl_s / 3)
                     self.confirmed_at = sent
                 failures = 0
-            except LeaseLost:
+            except LeaseExpiredError:
                 log.info("%s lost its lease", self.node)
                 self._lose_lease()
                 continue
-            except Unavailable as error:
+            except StateUnavailableError as error:
                 failures += 1
                 log.debug("renewal failed: %s", error)
                 await self._state.pause(min(failures, 3))
@@ -167,29 +182,31 @@
         self._present = False
         model = self._model
         with model.lock:
-            for share in model.shares:
-                if share.owned:
-                    log.info("share %d: given up with the lease", share.index)
-                    model.disown(share)
+            for shard in model.shards:
+                if shard.owned:
+                    log.info("share %d: given up with the lease", shard.index)
+                    model.disown(shard)
         self._changed()
 
     async def _announce(self) -> None:
         try:
-            written = await write_own(self._model, self._state, self._committer, self._own_record)
-        except LeaseLost:
+            written = await write_controller_record(
+                self._model, self._state, self._committer, self._own_record
+            )
+        except LeaseExpiredError:
             self._lose_lease()
             return
         if written is not None:
             self._announced_at = self._clock.now()
             self._present = written == self._own_record()
 
-    def _own_record(self) -> wire.Presence | None:
+    def _own_record(self) -> wire.ControllerRecord | None:
         """What siblings are to know of us now."""
         if self.lease is None:
             return None
         program, away = self._model.program, bool(self._away)
         known = program.least, program.most, __version__, self.classes_digest
-        return wire.Presence(self.node, self.lease, away, *known, sorted(self.doubts))
+        return wire.ControllerRecord(self.node, self.lease, away, *known, sorted(self.suspected))
 
     def announce_again(self) -> None:
         """Write our own record once more, now."""
@@ -207,72 +224,76 @@
             if not model.loaded:
                 return
             for name in list(self._alive_since):
-                if name not in model.nodes:
+                if name not in model.controllers:
                     del self._alive_since[name]
-            for name, held in model.nodes.items():
-                if held.claim.away:
+            for name, held in model.controllers.items():
+                if held.record.unavailable:
                     self._alive_since.pop(name, None)
                 else:
                     self._alive_since.setdefault(name, now)
-            for share in model.shares:
-                mine = self._is_mine(share.held)
-                if share.owned and (
-                    not mine or share.held is None or share.held.version != share.term
+            for shard in model.shards:
+                mine = self._is_mine(shard.claim)
+                if shard.owned and (
+                    not mine or shard.claim is None or shard.claim.version != shard.term
                 ):
-                    log.info("share %d: claim lost", share.index)
-                    model.disown(share)
-                if not share.owned and mine and share.held is not None and not share.releasing:
-                    if self._away and self.gate is None:
+                    log.info("share %d: claim lost", shard.index)
+                    model.disown(shard)
+                if not shard.owned and mine and shard.claim is not None and not shard.releasing:
+                    if self._away and self.takeover_checks is None:
                         # Carried out late, behind its release. A gate has a check for that, too.
-                        self.resign(share)
+                        self.resign(shard)
                         continue
-                    if not self._may_act(share, share.held):
+                    if not self._may_act(shard, shard.claim):
                         continue
-                    log.info("share %d: acting under term %d", share.index, share.held.version)
-                    others_s = self.others_s(share, share.held)
+                    log.info("share %d: acting under term %d", shard.index, shard.claim.version)
+                    others_s = self.previous_owner_bound_s(shard, shard.claim)
                     if others_s is None:
-                        self.claim_anew(share, share.held)
+                        self.reclaim(shard, shard.claim)
                         continue
-                    model.own(share, share.held.version, others_s)
+                    model.own(shard, shard.claim.version, others_s)
             if self.lease is None or not self._present:
                 return
-            present = model.nodes.get(self.node)
+            present = model.controllers.get(self.node)
             if (
-                (present is None or present.claim.lease != self.lease)
+                (present is None or present.record.lease != self.lease)
                 and now - self._announced_at > LATE_S
                 and now - model.followed_at < LATE_S
             ):
                 # Overwritten late, on no condition, by an earlier process of an older program: it
                 # goes with that one's lease, and siblings would miss us for as long as we live.
                 self._present = False
-            for share in model.shares:
-                key = claim_key(share.index)
-                if key not in self._claiming and self._should_claim(share, now):
-                    self._tasks.spawn(self._claim(key, share.held))
-                elif share.owned and self._should_return(share, now):
-                    self._return(share)
+            for shard in model.shards:
+                key = claim_key(shard.index)
+                if key not in self._claiming and self._should_claim(shard, now):
+                    self._tasks.spawn(self._claim(key, shard.claim))
+                elif shard.owned and self._should_return(shard, now):
+                    self._return_home(shard)
             if LEADER_KEY not in self._claiming and self._should_lead(now):
-                self._tasks.spawn(self._claim(LEADER_KEY, model.leader))
+                self._tasks.spawn(self._claim(LEADER_KEY, model.leader_claim))
 
-    def _may_act(self, share: Share, held: Held) -> bool:
+    def _may_act(self, shard: Shard, held: ObservedClaim) -> bool:
         # While all keys are read anew, the claim may be there before the pages: what they hold was
         # placed once more, and ran twice. A gate has a check for that.
-        return not self._model.loading if self.gate is None else self.gate.passes(share, held)
+        return (
+            not self._model.loading
+            if self.takeover_checks is None
+            else self.takeover_checks.may_act_on_shard(shard, held)
+        )
 
-    def claim_anew(self, share: Share, held: Held) -> None:
+    def reclaim(self, shard: Shard, held: ObservedClaim) -> None:
         """Replace a claim of ours that tells nothing of the owners before."""
-        key = claim_key(share.index)
+        key = claim_key(shard.index)
         if key not in self._claiming:
-            log.info("share %d: a claim that came late is made anew", share.index)
-            self._tasks.spawn(self._claim(key, held, self._until(None)))
+            log.info("share %d: a claim that came late is made anew", shard.index)
+            self._tasks.spawn(self._claim(key, held, self._previous_owner_until(None)))
 
-    def others_s(self, share: Share, held: Held) -> float | None:
+    def previous_owner_bound_s(self, shard: Shard, held: ObservedClaim) -> float | None:
         """How long owners before us may go on answering the share's workers; None if the claim has
         been applied so late that it tells nothing of them."""
-        bound = self._model.cut_bound_s
-        until = held.claim.until
+        bound = self._model.partition_bound_s
+        until = held.record.previous_owner_until
         left = None if until is None else until - self._clock.wall()
-        if share.last_holder != self.node:
+        if shard.previous_owner != self.node:
             if left is not None and left < bound - LATE_S:
                 # An owner may have come and gone since it was written, which a later process of
                 # ours, that relies on the time in it, would not know.
@@ -282,100 +303,109 @@
         # before it cut off: taken for alone then, tasks were placed anew that still ran.
         return bound if left is None else max(0.0, min(left, bound))
 
-    def _until(self, held: Held | None) -> float:
+    def _previous_owner_until(self, held: ObservedClaim | None) -> float:
         """What a claim of ours that replaces another, or none, says of the owners before."""
-        if held is not None and held.claim.node == self.node and held.claim.until is not None:
-            return held.claim.until
+        if (
+            held is not None
+            and held.record.node == self.node
+            and held.record.previous_owner_until is not None
+        ):
+            return held.record.previous_owner_until
         params = self._model.settings.params
         # The time of day is read by another process later, and wanders.
-        return self._clock.wall() + self._model.cut_bound_s + 2e-3 * params.time_bound_ms
+        return self._clock.wall() + self._model.partition_bound_s + 2e-3 * params.time_bound_ms
 
     def _may_claim(self, key: str) -> bool:
-        return self.gate is None or self.gate.may_claim(key)
+        return self.takeover_checks is None or self.takeover_checks.may_claim(key)
 
-    def _should_claim(self, share: Share, now: float) -> bool:
-        held = share.held
-        if self._away or not self._may_claim(claim_key(share.index)):
+    def _should_claim(self, shard: Shard, now: float) -> bool:
+        held = shard.claim
+        if self._away or not self._may_claim(claim_key(shard.index)):
             return False
         if held is not None:
             # Ours from before a restart: the process that held it is certainly gone.
-            return held.claim.node == self.node and held.claim.lease != self.lease
-        home = self.home(share)
+            return held.record.node == self.node and held.record.lease != self.lease
+        home = self.home_of(shard)
         if home == self.node:
             return True
-        vacant = now - max(share.vacant_since, self._started)
-        present = self._model.nodes.get(home)
-        if present is not None and not present.claim.away:
-            return vacant > HOME_GRACE_S + self._turn() * STAGGER_S
-        wait = 0.0 if share.ever_held else HOME_GRACE_S
-        return vacant >= wait + self._turn() * STAGGER_S
-
-    def _turn(self) -> int:
+        vacant = now - max(shard.unowned_since, self._started)
+        present = self._model.controllers.get(home)
+        if present is not None and not present.record.unavailable:
+            return vacant > HOME_GRACE_S + self._claim_rank() * STAGGER_S
+        wait = 0.0 if shard.ever_claimed else HOME_GRACE_S
+        return vacant >= wait + self._claim_rank() * STAGGER_S
+
+    def _claim_rank(self) -> int:
         """Our turn among the living when something is to be claimed: the least busy first."""
-        ranked = self._by_load()
+        ranked = self._candidates_by_load()
         return ranked.index(self.node) if self.node in ranked else len(ranked)
 
-    def _return(self, share: Share) -> None:
+    def _return_home(self, shard: Shard) -> None:
         """Have a share's home take it over, in one step; given up if it cannot be asked, as a
         program from before such requests cannot."""
-        held, ask = share.held, self.ask_to_take
+        held, ask = shard.claim, self.request_takeover
         if ask is None or held is None:
-            self.resign(share)
-        elif share.index not in self._returning:
-            self._returning.add(share.index)
-            self._tasks.spawn(self._bring_home(share, held, ask))
+            self.resign(shard)
+        elif shard.index not in self._returning:
+            self._returning.add(shard.index)
+            self._tasks.spawn(self._bring_home(shard, held, ask))
 
-    async def _bring_home(self, share: Share, held: Held, ask: AskToTake) -> None:
+    async def _bring_home(self, shard: Shard, held: ObservedClaim, ask: RequestTakeover) -> None:
         try:
-            taken = await ask(self.home(share), claim_key(share.index), held.version)
+            taken = await ask(self.home_of(shard), claim_key(shard.index), held.version)
             if taken is not None:
                 # The replica is about to show it; or it is not ready to act, and asked again.
                 await asyncio.sleep(RETURN_S)
                 return
             with self._model.lock:
-                if share.owned and share.held is held:
-                    self.resign(share)
+                if shard.owned and shard.claim is held:
+                    self.resign(shard)
         finally:
-            self._returning.discard(share.index)
+            self._returning.discard(shard.index)
 
-    def _by_load(self) -> list[str]:
+    def _candidates_by_load(self) -> list[str]:
         """The controllers that take shares, the least busy first."""
-        load = {name: 0 for name, held in self._model.nodes.items() if not held.claim.away}
-        for share in self._model.shares:
-            if share.held is not None and share.held.claim.node in load:
-                load[share.held.claim.node] += 1
+        load = {
+            name: 0 for name, held in self._model.controllers.items() if not held.record.unavailable
+        }
+        for shard in self._model.shards:
+            if shard.claim is not None and shard.claim.record.node in load:
+                load[shard.claim.record.node] += 1
         return sorted(load, key=lambda name: (load[name], self.order.index(name)))
 
     def _should_lead(self, now: float) -> bool:
-        held = self._model.leader
-        if self._away - {Away.DEAF} or not self._may_claim(LEADER_KEY):
+        held = self._model.leader_claim
+        if self._away - {UnavailableReason.NO_HEARTBEATS} or not self._may_claim(LEADER_KEY):
             return False
         if held is not None:
-            return held.claim.node == self.node and held.claim.lease != self.lease
+            return held.record.node == self.node and held.record.lease != self.lease
         return now - self._started > self.order.index(self.node) * 0.5
 
-    def _should_return(self, share: Share, now: float) -> bool:
-        home = self.home(share)
+    def _should_return(self, shard: Shard, now: float) -> bool:
+        home = self.home_of(shard)
         since = self._alive_since.get(home)
         return (
             home != self.node
-            and not share.releasing
+            and not shard.releasing
             and since is not None
             and now - since > STEADY_S
-            and (self.gate is None or self.gate.may_return(home, now - since))
+            and (
+                self.takeover_checks is None
+                or self.takeover_checks.may_return_home(home, now - since)
+            )
         )
 
     # ---- a controller that others are to act for ----
 
-    def others(self) -> list[str]:
+    def takeover_candidates(self) -> list[str]:
         """Controllers that would take a share now, the least busy first."""
-        return [name for name in self._by_load() if name != self.node]
+        return [name for name in self._candidates_by_load() if name != self.node]
 
-    def hand_on(self) -> bool:
+    def withdraw_if_replaceable(self) -> bool:
         """Have others act for our shares, until `come_back`; False if there is nobody else."""
-        if self.deaf or self.lease is None or not self.others():
+        if self.hears_no_workers or self.lease is None or not self.takeover_candidates():
             return False
-        self._away.add(Away.DEAF)
+        self._away.add(UnavailableReason.NO_HEARTBEATS)
         self._tasks.spawn(self._withdraw())
         return True
 
@@ -383,36 +413,36 @@
         # Known to the others first: they would leave the shares to us for a while.
         await self._announce()
         with self._model.lock:
-            for share in self._model.shares:
-                if share.owned and self._away:
-                    self.resign(share)
+            for shard in self._model.shards:
+                if shard.owned and self._away:
+                    self.resign(shard)
 
-    def go_away(self, why: Away) -> None:
+    def mark_unavailable(self, why: UnavailableReason) -> None:
         """Take no share from now on. What is held is for the caller to pass on."""
         self._away.add(why)
         self._present = False
 
-    async def told_away(self) -> bool:
+    async def announce_unavailable(self) -> bool:
         """Have that known to the others; whether it is."""
         await self._announce()
         return self._present
 
-    def come_back(self, why: Away) -> None:
+    def mark_available(self, why: UnavailableReason) -> None:
         """One reason fewer not to take shares."""
         self._away.discard(why)
         self._present = False
 
-    def stand_aside(self) -> None:
+    def deactivate(self) -> None:
         """Act for nothing from now on: the program does not fit the site's level."""
-        self.go_away(Away.UNFIT)
+        self.mark_unavailable(UnavailableReason.UNSUPPORTED_LEVEL)
         with self._model.lock:
-            for share in self._model.shares:
-                if share.owned:
-                    self.resign(share)
-        if self._is_mine(self._model.leader):
+            for shard in self._model.shards:
+                if shard.owned:
+                    self.resign(shard)
+        if self._is_mine(self._model.leader_claim):
             self.resign_leadership()
 
-    async def take(self, key: str, version: int) -> bool:
+    async def take_over_claim(self, key: str, version: int) -> bool:
         """Take a claim over from the sibling that holds it, at its own wish and in one step, so
         that nobody is without an owner in between; whether that is durable."""
         lease = self.lease
@@ -420,21 +450,23 @@
         if lease is None or self._away or not self._present or key in self._claiming:
             return False
         # One that does not follow the changes would not see its claim, nor act on it.
-        if not model.up_to_date or not model.fits or not self._may_claim(key):
+        if not model.is_up_to_date or not model.is_supported or not self._may_claim(key):
             return False
-        return await self._write_claim(key, version, lease, self._until(None))
+        return await self._write_claim(key, version, lease, self._previous_owner_until(None))
 
-    async def _claim(self, key: str, held: Held | None, until: float | None = None) -> None:
+    async def _claim(
+        self, key: str, held: ObservedClaim | None, until: float | None = None
+    ) -> None:
         lease = self.lease
         if lease is None or key in self._claiming:
             return
         version = 0 if held is None else held.version
-        until = self._until(held) if until is None else until
+        until = self._previous_owner_until(held) if until is None else until
         await self._write_claim(key, version, lease, until)
 
     async def _write_claim(self, key: str, version: int, lease: int, until: float) -> bool:
         self._claiming.add(key)
-        record = wire.Holding(self.node, lease, False, round(until, 3))
+        record = wire.ClaimRecord(self.node, lease, False, round(until, 3))
         write = wire.Write(put=key, value=wire.raw(record), lease=lease)
         try:
             await self._committer.commit(
@@ -445,12 +477,12 @@
                 wanted=lambda: self.lease == lease,
             )
             return True
-        except LeaseLost:
+        except LeaseExpiredError:
             self._lose_lease()
-        except Refused:
+        except ConditionFailedError:
             log.debug("%s: claimed by another", key)
             await asyncio.sleep(0.2)
-        except (Unavailable, Dropped):
+        except (StateUnavailableError, ProposalDroppedError):
             log.debug("%s: not claimed", key)
         finally:
             # The replica shows the claim before we act for it, with all that was written earlier.
@@ -458,24 +490,24 @@
             self._changed()
         return False
 
-    def resign(self, share: Share) -> None:
+    def resign(self, shard: Shard) -> None:
         """Stop acting for a share at once and give up its claim, if it is still ours."""
-        if share.releasing:
+        if shard.releasing:
             return
-        held = share.held
-        if share.owned:
-            self._model.disown(share)
+        held = shard.claim
+        if shard.owned:
+            self._model.disown(shard)
         if held is None or not self._is_mine(held):
             # Passed on while a write of ours was on its way: the next owner's claim is not ours to
             # remove.
             return
-        log.info("share %d: given up", share.index)
-        share.releasing = True
-        self._tasks.spawn(self._release(share, held))
+        log.info("share %d: given up", shard.index)
+        shard.releasing = True
+        self._tasks.spawn(self._release(shard, held))
 
     def resign_leadership(self) -> None:
         """Give up the leadership."""
-        held = self._model.leader
+        held = self._model.leader_claim
         if held is not None and self._is_mine(held):
             log.info("the leadership is given up")
             self._tasks.spawn(self._remove(LEADER_KEY, held.version))
@@ -483,13 +515,13 @@
     async def _remove(self, key: str, version: int) -> None:
         await remove_claim(self._state, self._committer, key, version, lambda: bool(self._away))
 
-    async def _release(self, share: Share, held: Held) -> None:
+    async def _release(self, shard: Shard, held: ObservedClaim) -> None:
         try:
-            await self._remove(claim_key(share.index), held.version)
+            await self._remove(claim_key(shard.index), held.version)
             await asyncio.sleep(RELEASED_S)
         finally:
             # Even if the removal failed, acting again takes a claim of a new version.
-            share.releasing = False
-            if share.held is held:
-                share.held = Held(wire.Holding(self.node, -1), held.version)
+            shard.releasing = False
+            if shard.claim is held:
+                shard.claim = ObservedClaim(wire.ClaimRecord(self.node, -1), held.version)
         self._changed()
--- a/badgerseam/cluster/partition.py
+++ b/badgerseam/cluster/partition.py
@@ -22,26 +22,26 @@
 from collections.abc import Callable
 from enum import Enum
 
-from badgerseam.cluster.membership import Member
+from badgerseam.cluster.membership import Membership
 from badgerseam.model.machine import BUMP_BITS, Machine
 from badgerseam.model.model import Model
-from badgerseam.model.state import Share
+from badgerseam.model.state import Shard
 
 log = logging.getLogger("badgerseam.cluster")
 
 
-class Word(Enum):
+class HeartbeatVerdict(Enum):
     """What a worker is told that reports to its owner."""
 
     ANSWER = "goes on as ever"
-    SEND_ON = "the share has a later owner"
-    STAND_IN = "that one was not found"
+    REDIRECT = "the share has a later owner"
+    PROXY = "that one was not found"
 
 
-class Island:
+class PartitionedOperation:
     """What workers prove to a controller that has lost the state service."""
 
-    def __init__(self, model: Model, member: Member, counted_in: Callable[[str], bool]) -> None:
+    def __init__(self, model: Model, member: Membership, counted_in: Callable[[str], bool]) -> None:
         """`counted_in`: whether owners count with our answering workers of theirs in a zone."""
         self._model = model
         self._member = member
@@ -52,52 +52,56 @@
         """The token with which each machine was sent on, by name."""
 
     @property
-    def proven(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Whether the state service certainly serves others, and does not serve us."""
-        return not self._member.connected and any(
-            self._model.shares[index].owned and self._model.shares[index].term == term
+        return not self._member.lease_is_current and any(
+            self._model.shards[index].owned and self._model.shards[index].term == term
             for (index, _), term in self._outgrown.items()
         )
 
-    def word(self, share: Share, machine: Machine, token: int) -> Word:
+    def verdict(self, shard: Shard, machine: Machine, token: int) -> HeartbeatVerdict:
         """What a worker of a share of ours is told that shows that token."""
-        if self._served():
+        if self._served_recently():
             # The replica tells who owns the share; a worker that knows more has to go all the same.
-            return Word.SEND_ON if token > machine.token else Word.ANSWER
-        where = share.index, machine.zone
-        if token >> BUMP_BITS > machine.term and not machine.giving:
-            if self._outgrown.get(where) != share.term:
+            return (
+                HeartbeatVerdict.REDIRECT
+                if token > machine.fencing_token
+                else HeartbeatVerdict.ANSWER
+            )
+        where = shard.index, machine.zone
+        if token >> BUMP_BITS > machine.term and not machine.transferring:
+            if self._outgrown.get(where) != shard.term:
                 log.info(
                     "share %d: %s knows a later owner: workers of zone %s are sent on",
-                    share.index,
+                    shard.index,
                     machine.name,
                     machine.zone,
                 )
-            self._outgrown[where] = share.term
-        above = token > machine.token
-        if not above and self._outgrown.get(where) != share.term:
-            return Word.ANSWER
-        if self._first(machine, token) or (above and not self._counted_in(machine.zone)):
-            return Word.SEND_ON
-        return Word.STAND_IN
-
-    def passes_by(self, share: Share, machine: Machine, token: int) -> bool:
+            self._outgrown[where] = shard.term
+        above = token > machine.fencing_token
+        if not above and self._outgrown.get(where) != shard.term:
+            return HeartbeatVerdict.ANSWER
+        if self._is_first(machine, token) or (above and not self._counted_in(machine.zone)):
+            return HeartbeatVerdict.REDIRECT
+        return HeartbeatVerdict.PROXY
+
+    def knows_newer_owner(self, shard: Shard, machine: Machine, token: int) -> bool:
         """Whether a worker for whose owner we would stand in knows a later one than we do."""
-        if self._served() or share.held is None:
+        if self._served_recently() or shard.claim is None:
             return False
-        if token >> BUMP_BITS <= max(share.held.version, machine.version):
+        if token >> BUMP_BITS <= max(shard.claim.version, machine.version):
             return False
-        return self._first(machine, token)
+        return self._is_first(machine, token)
 
-    def _served(self) -> bool:
+    def _served_recently(self) -> bool:
         """Whether the state service has answered of late; what was found out before is past."""
-        if not self._member.connected:
+        if not self._member.lease_is_current:
             return False
         self._outgrown.clear()
         self._sent.clear()
         return True
 
-    def _first(self, machine: Machine, token: int) -> bool:
+    def _is_first(self, machine: Machine, token: int) -> bool:
         before = self._sent.get(machine.name, -1)
         # A copy of an older report, come late, must not make it leave once more.
         self._sent[machine.name] = max(before, token)
--- a/badgerseam/cluster/registration.py
+++ b/badgerseam/cluster/registration.py
@@ -7,28 +7,28 @@
 
 from badgerseam.model.keys import node_key
 from badgerseam.model.model import Model
-from badgerseam.store.client import Refused, StateClient, Unavailable
-from badgerseam.store.committer import Committer, Dropped, Urgency
+from badgerseam.store.client import ConditionFailedError, StateClient, StateUnavailableError
+from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.cluster")
 
-TRIES = 3
+MAX_ATTEMPTS = 3
 """Of writing on what is found in its place."""
 
 
-async def write_own(
+async def write_controller_record(
     model: Model,
     state: StateClient,
-    committer: Committer,
-    compose: Callable[[], wire.Presence | None],
-) -> wire.Presence | None:
+    committer: GroupCommitter,
+    compose: Callable[[], wire.ControllerRecord | None],
+) -> wire.ControllerRecord | None:
     """Write what `compose` gives, asked again for each try: what is known to be written, or None.
     LeaseLost if its lease has ended."""
     key = node_key(model.settings.node)
-    known = model.nodes.get(model.settings.node)
+    known = model.controllers.get(model.settings.node)
     stamp = 0 if known is None else known.version
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         record = compose()
         if record is None:
             break
@@ -41,14 +41,14 @@
             with model.lock:
                 model.apply(key, write.value, revision)
             return record
-        except Refused:
+        except ConditionFailedError:
             # One of an earlier process, or of ours that seemed lost. The replica may be late.
             try:
                 entry = await state.get(key)
-            except Unavailable:
+            except StateUnavailableError:
                 break
             stamp = 0 if entry is None else entry.version
-        except (Unavailable, Dropped):
+        except (StateUnavailableError, ProposalDroppedError):
             break
     log.debug("not announced yet")
     return None
--- a/badgerseam/cluster/watch_health.py
+++ b/badgerseam/cluster/watch_health.py
@@ -18,34 +18,34 @@
 
 import msgspec
 
-from badgerseam.cluster.availability import Away
-from badgerseam.cluster.membership import AskToTake, Member
+from badgerseam.cluster.availability import UnavailableReason
+from badgerseam.cluster.membership import Membership, RequestTakeover
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.model import Model
-from badgerseam.store.client import StateClient, Unavailable
+from badgerseam.store.client import StateClient, StateUnavailableError
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.cluster")
 
-BLIND_S = 8.0
+STALLED_S = 8.0
 """Without an answer for so long, two requests to follow in a row have come to nothing."""
-MOST_STEP_S = 0.5
+MAX_STEP_S = 0.5
 """Between two looks at most so much time counts: a process that stood still asked nothing."""
 RETRY_S = 1.0
 STEADY_S = 3.0
 """How long the changes have to be followed before shares are taken again; doubled each time."""
-MOST_STEADY_S = 60.0
+MAX_STEADY_S = 60.0
 
 
-class Following:
+class WatchHealth:
     """Counts the time without an answer, and passes the claims on."""
 
     def __init__(
         self,
         model: Model,
-        member: Member,
+        member: Membership,
         state: StateClient,
-        ask_to_take: AskToTake,
+        ask_to_take: RequestTakeover,
     ) -> None:
         self._model = model
         self._member = member
@@ -63,30 +63,30 @@
         """Whether a claim has been passed on since we became blind."""
         self._passing: asyncio.Task[None] | None = None
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Called a few times a second, with the model's lock held."""
         now = self._clock.now()
-        step_s = min(now - self._looked_at, MOST_STEP_S)
+        step_s = min(now - self._looked_at, MAX_STEP_S)
         self._looked_at = now
         answered = self._model.followed_at != self._followed_at
         self._followed_at = self._model.followed_at
-        if answered or not self._member.fresh(self._renewed_s):
+        if answered or not self._member.lease_confirmed_within(self._renewed_s):
             # Without renewals either, the lease ends, or it is an outage and nobody follows.
             self._blind_s = 0.0
         else:
             self._blind_s += step_s
-        if self._member.away(Away.BLIND):
-            self._look_again(now)
-        elif self._blind_s > BLIND_S and self._holds_any():
+        if self._member.is_unavailable(UnavailableReason.WATCH_STALLED):
+            self._resume_when_steady(now)
+        elif self._blind_s > STALLED_S and self._holds_any():
             log.warning("no changes followed for %.1f s: claims are passed on", self._blind_s)
             self._passed_on = False
             self._follows_since = None
-            self._member.go_away(Away.BLIND)
-            self._passing = asyncio.ensure_future(self._pass_on_all())
+            self._member.mark_unavailable(UnavailableReason.WATCH_STALLED)
+            self._passing = asyncio.ensure_future(self._hand_over_all())
 
-    def _look_again(self, now: float) -> None:
+    def _resume_when_steady(self, now: float) -> None:
         """Take shares again once the changes are followed steadily."""
-        if not self._model.up_to_date:
+        if not self._model.is_up_to_date:
             self._follows_since = None
             return
         if self._follows_since is None:
@@ -94,26 +94,26 @@
         if self._passed_on and now - self._follows_since < self._steady_s:
             return
         if self._passed_on:
-            self._steady_s = min(2 * self._steady_s, MOST_STEADY_S)
+            self._steady_s = min(2 * self._steady_s, MAX_STEADY_S)
         log.info("changes are followed again")
         self._blind_s = 0.0
-        self._member.come_back(Away.BLIND)
+        self._member.mark_available(UnavailableReason.WATCH_STALLED)
 
     def _holds_any(self) -> bool:
         """Whether a claim is ours by what the replica shows, perhaps long ago."""
-        held = [*(share.held for share in self._model.shares), self._model.leader]
-        return any(claim is not None and claim.claim.node == self._member.node for claim in held)
+        held = [*(shard.claim for shard in self._model.shards), self._model.leader_claim]
+        return any(claim is not None and claim.record.node == self._member.node for claim in held)
 
-    async def _held(self) -> list[tuple[str, int]] | None:
+    async def _held_claims(self) -> list[tuple[str, int]] | None:
         """The claims that are ours now and their stamps, the leadership last; None if they cannot
         be read. The replica may not show those that this process has made: started again with a
         watch that is stuck, it holds its predecessor's under stamps that it never follows."""
         found = []
-        keys = [claim_key(share.index) for share in self._model.shares]
+        keys = [claim_key(shard.index) for shard in self._model.shards]
         for key in [*keys, LEADER_KEY]:
             try:
                 entry = await self._state.get(key)
-            except Unavailable:
+            except StateUnavailableError:
                 return None
             if entry is not None and _holder(entry) == self._member.node:
                 found.append((key, entry.version))
@@ -121,37 +121,40 @@
 
     def _siblings(self) -> list[str]:
         """All of them, those that would take a share by what is known first."""
-        others = self._member.others()
+        others = self._member.takeover_candidates()
         named = [sibling.node for sibling in self._model.settings.siblings]
         return others + [name for name in named if name not in others]
 
-    def _blind(self) -> bool:
-        return self._member.away(Away.BLIND) and not self._model.up_to_date
+    def _is_stalled(self) -> bool:
+        return (
+            self._member.is_unavailable(UnavailableReason.WATCH_STALLED)
+            and not self._model.is_up_to_date
+        )
 
-    async def _pass_on_all(self) -> None:
+    async def _hand_over_all(self) -> None:
         """Ask the siblings again and again, until nothing is held or the changes are followed."""
-        while self._blind():
-            held = await self._held()
+        while self._is_stalled():
+            held = await self._held_claims()
             if held is not None and not held:
                 return
             for key, version in held or []:
-                if self._blind():
-                    await self._pass_on(key, version)
+                if self._is_stalled():
+                    await self._hand_over(key, version)
             await asyncio.sleep(RETRY_S)
 
-    async def _pass_on(self, key: str, version: int) -> None:
+    async def _hand_over(self, key: str, version: int) -> None:
         for node in self._siblings():
             # Without an answer it may have been taken all the same.
             taken = await self._ask_to_take(node, key, version)
-            if taken is not False and await self._read_claim(key):
+            if taken is not False and await self._is_held_by_another(key):
                 log.info("%s: passed on to %s", key, node)
                 return
 
-    async def _read_claim(self, key: str) -> bool:
+    async def _is_held_by_another(self, key: str) -> bool:
         """Whether another holds a claim now; the model takes that over."""
         try:
             entry = await self._state.get(key)
-        except Unavailable:
+        except StateUnavailableError:
             return False
         if entry is None:
             return False
@@ -167,5 +170,5 @@
 
 def _holder(entry: wire.Entry) -> str:
     """Who holds a claim, by its record."""
-    claim: wire.Holding = msgspec.json.decode(entry.value, type=wire.Holding)
+    claim: wire.ClaimRecord = msgspec.json.decode(entry.value, type=wire.ClaimRecord)
     return claim.node
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -8,14 +8,14 @@
 
 from msgspec.structs import replace
 
-from badgerseam.cluster.membership import Member
-from badgerseam.explain.history import History
+from badgerseam.cluster.membership import Membership
+from badgerseam.explain.history import ReasonHistory
 from badgerseam.explain.reasons import Context, ahead, groups
-from badgerseam.explain.supply import AskLeader, CloudWord
-from badgerseam.explain.surveys import NotOwner, Survey, Surveys
+from badgerseam.explain.supply import AskLeader, LeaderCloudView
+from badgerseam.explain.surveys import NotOwnerError, Survey, Surveys
 from badgerseam.model.job import Job
 from badgerseam.model.model import Model
-from badgerseam.model.state import Share
+from badgerseam.model.state import Shard
 from badgerseam.sched.planner import Planner
 from badgerseam.settings import ExplainOptions
 from badgerseam.wire.explain import Code, Group, Question, Reason, Why
@@ -41,7 +41,7 @@
         self,
         model: Model,
         planner: Planner,
-        member: Member,
+        member: Membership,
         options: ExplainOptions,
         ask_owner: AskOwner,
         ask_leader: AskLeader,
@@ -55,52 +55,52 @@
         self.surveys = Surveys(
             model,
             planner,
-            CloudWord(model.clock, ask_leader),
+            LeaderCloudView(model.clock, ask_leader),
             options.processor_part,
             options.slice_ms / 1000,
             options.most_age_s,
         )
-        self.history = History(options.most_jobs, options.most_transitions, options.gap_s)
+        self.history = ReasonHistory(options.most_jobs, options.most_transitions, options.gap_s)
 
     # ---- as the owner ----
 
-    async def local(self, share_index: int, ids: list[str]) -> list[Why]:
+    async def local(self, shard_index: int, ids: list[str]) -> list[Why]:
         """Answers about jobs of a share that this controller plans for; NotOwner if it does not,
         or cannot vouch for it. Jobs that it has not read yet are left out."""
         model = self._model
-        share = model.shares[share_index]
-        self._vouch(share)
+        shard = model.shards[shard_index]
+        self._check_current(shard)
         with model.lock:
             jobs = [
                 job
                 for job in map(model.job, ids)
-                if job is not None and job.share == share_index and model.jobs[job.index] is job
+                if job is not None and job.shard == shard_index and model.jobs[job.index] is job
             ]
             waiting = {job for job in jobs if job.waiting() > 0}
         survey = Survey(self._clock.now(), model.revision, {}, {})
         if waiting:
-            survey = await self.surveys.ask(share, waiting)
-        self._vouch(share)
+            survey = await self.surveys.ask(shard, waiting)
+        self._check_current(shard)
         with model.lock:
-            return [self._answer(share, job, survey) for job in jobs]
+            return [self._answer(shard, job, survey) for job in jobs]
 
-    async def for_sibling(self, share_index: int, ids: list[str]) -> list[Why] | None:
+    async def for_sibling(self, shard_index: int, ids: list[str]) -> list[Why] | None:
         """As `local`; None instead of NotOwner."""
         try:
-            return await self.local(share_index, ids)
-        except NotOwner:
+            return await self.local(shard_index, ids)
+        except NotOwnerError:
             return None
 
-    def _vouch(self, share: Share) -> None:
+    def _check_current(self, shard: Shard) -> None:
         if (
-            not share.owned
-            or share.releasing
-            or not self._member.entitled(share)
-            or not self._member.fresh(PLANS_S)
+            not shard.owned
+            or shard.releasing
+            or not self._member.holds_lease_for(shard)
+            or not self._member.lease_confirmed_within(PLANS_S)
         ):
-            raise NotOwner(str(share.index))
+            raise NotOwnerError(str(shard.index))
 
-    def _answer(self, share: Share, job: Job, survey: Survey) -> Why:
+    def _answer(self, shard: Shard, job: Job, survey: Survey) -> Why:
         now = self._clock.now()
         context = Context(
             self._model,
@@ -123,7 +123,7 @@
             self._member.node,
             survey.revision,
             round(now - survey.at, 3),
-            round(now - max(share.owned_since, job.seen_at), 3),
+            round(now - max(shard.owned_since, job.last_seen_at), 3),
             self.history.transitions(job.id, now),
         )
 
@@ -137,62 +137,62 @@
         asked later finds since when its reasons hold."""
         while True:
             await asyncio.sleep(self._options.sample_s)
-            for share in self._model.shares:
-                ids = [job.id for job in self._model.open_jobs[share.index].values()]
+            for shard in self._model.shards:
+                ids = [job.id for job in self._model.open_jobs[shard.index].values()]
                 try:
-                    if share.owned and ids:
-                        await self.local(share.index, ids)
-                except NotOwner:
-                    log.debug("share %d: given up while it was looked at", share.index)
+                    if shard.owned and ids:
+                        await self.local(shard.index, ids)
+                except NotOwnerError:
+                    log.debug("share %d: given up while it was looked at", shard.index)
 
     # ---- for any job ----
 
     async def ask(self, job: Job) -> Why | None:
         """The answer about an open job from whoever plans for it; None if nobody can vouch for
         one in time."""
-        found = await self.ask_all(job.share, [job.id])
+        found = await self.ask_all(job.shard, [job.id])
         return found[0] if found else None
 
-    async def ask_all(self, share_index: int, ids: list[str]) -> list[Why]:
+    async def ask_all(self, shard_index: int, ids: list[str]) -> list[Why]:
         """Answers about jobs of one share; those that nobody can vouch for in time are missing."""
         try:
             async with asyncio.timeout(ASK_S):
-                return await self._route(share_index, ids)
+                return await self._route(shard_index, ids)
         except TimeoutError:
             return []
 
-    async def _route(self, share_index: int, ids: list[str]) -> list[Why]:
+    async def _route(self, shard_index: int, ids: list[str]) -> list[Why]:
         model = self._model
-        share = model.shares[share_index]
+        shard = model.shards[shard_index]
         deadline = self._clock.now() + ASK_S
         while True:
-            held = share.held
-            if held is None and self._member.fresh(PLANS_S):
-                return [self._no_owner(share, job_id) for job_id in ids]
+            held = shard.claim
+            if held is None and self._member.lease_confirmed_within(PLANS_S):
+                return [self._no_owner(shard, job_id) for job_id in ids]
             answers: list[Why] | None = None
             if held is None:
                 # Cut off ourselves: somebody may have claimed it long ago.
                 pass
-            elif held.claim.node == self._member.node:
+            elif held.record.node == self._member.node:
                 try:
-                    answers = await self.local(share_index, ids)
-                except NotOwner:
-                    log.debug("share %d: not acted for yet", share_index)
+                    answers = await self.local(shard_index, ids)
+                except NotOwnerError:
+                    log.debug("share %d: not acted for yet", shard_index)
             else:
                 left = max(0.1, deadline - self._clock.now())
-                answers = await self._ask_owner(held.claim.node, Question(share_index, ids), left)
+                answers = await self._ask_owner(held.record.node, Question(shard_index, ids), left)
             if answers:
                 return answers
             # It has just been passed on, or its owner has not read the job yet.
             await asyncio.sleep(AGAIN_S)
 
-    def _no_owner(self, share: Share, job_id: str) -> Why:
-        vacant = self._clock.now() - share.vacant_since
+    def _no_owner(self, shard: Shard, job_id: str) -> Why:
+        vacant = self._clock.now() - shard.unowned_since
         reason = Reason(
             "no_owner",
             "No controller acts for the share of its team now; one takes it over.",
             binding=True,
-            since_s=round(vacant, 1) if share.vacant_since else None,
+            since_s=round(vacant, 1) if shard.unowned_since else None,
             change="A controller has claimed the share and has read what is in it.",
         )
         with self._model.lock:
--- a/badgerseam/explain/history.py
+++ b/badgerseam/explain/history.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class _Spell:
+class _Interval:
     """The same reasons, at one look after the other."""
 
     codes: tuple[Code, ...]
@@ -18,13 +18,13 @@
 
 
 @dataclass(slots=True)
-class _Record:
-    spells: deque[_Spell]
+class _JobRecord:
+    spells: deque[_Interval]
     since: dict[Code, float] = field(default_factory=dict)
     """When each reason that holds now was first seen without a break."""
 
 
-class History:
+class ReasonHistory:
     """Bounded: of the jobs asked about most recently, the latest transitions.
 
     A job is looked at when somebody asks, or at the interval that an operator has set. Between two
@@ -36,7 +36,7 @@
         self._most_jobs = most_jobs
         self._most_spells = most_spells
         self._gap_s = gap_s
-        self._records: OrderedDict[str, _Record] = OrderedDict()
+        self._records: OrderedDict[str, _JobRecord] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._records)
@@ -46,7 +46,7 @@
         found = tuple(dict.fromkeys(codes))
         record = self._records.get(job)
         if record is None:
-            record = self._records[job] = _Record(deque(maxlen=self._most_spells))
+            record = self._records[job] = _JobRecord(deque(maxlen=self._most_spells))
         self._records.move_to_end(job)
         while len(self._records) > self._most_jobs:
             self._records.popitem(last=False)
@@ -55,7 +55,7 @@
         if unbroken and spells[-1].codes == found:
             spells[-1].last = now
         else:
-            spells.append(_Spell(found, now, now))
+            spells.append(_Interval(found, now, now))
         before = record.since if unbroken else {}
         record.since = {code: before.get(code, now) for code in found}
 
--- a/badgerseam/explain/members.py
+++ b/badgerseam/explain/members.py
@@ -5,25 +5,25 @@
 from collections import Counter
 
 from badgerseam.model.job import Job
-from badgerseam.replicas.phases import NAMES, Step
+from badgerseam.replicas.phases import NAMES, ReplicaPhase
 from badgerseam.sched.diagnosis import Finding
 from badgerseam.wire.explain import Reason
 from badgerseam.wire.state import StoredReplica
 
-KNOWN = frozenset(Step)
+KNOWN = frozenset(ReplicaPhase)
 
 
-def members_wait(job: Job, finding: Finding | None) -> Reason:
+def replica_reason(job: Job, finding: Finding | None) -> Reason:
     """The reason, of a job whose replicas span machines; without a finding none of them asks for
     room now."""
     phases = Counter(
-        Step(note.phase)
+        ReplicaPhase(note.phase)
         for note in job.notes.values()
         if isinstance(note, StoredReplica) and note.phase in KNOWN
     )
     standing = ", ".join(f"{count} {NAMES[phase]}" for phase, count in sorted(phases.items()))
     standing = f" (its replicas: {standing})" if standing else ""
-    span = None if finding is None else finding.request.span
+    span = None if finding is None else finding.request.gang_rules
     if finding is None or span is None:
         return Reason(
             "replica",
@@ -32,7 +32,7 @@
             change="The other members have left their machines, or the pause is over after a start "
             "that came to nothing.",
         )
-    if span.kept:
+    if span.reserved:
         text = (
             f"Replica {span.number} is degraded: {finding.request.count} of its {span.size} tasks "
             f"wait for room beside the others, and {finding.reached} would find it{standing}."
--- a/badgerseam/explain/reasons.py
+++ b/badgerseam/explain/reasons.py
@@ -5,16 +5,16 @@
 from dataclasses import dataclass
 
 from badgerseam.batch.terms import TermsRules
-from badgerseam.explain.members import members_wait
+from badgerseam.explain.members import replica_reason
 from badgerseam.explain.supply import Supply, supply_reasons
 from badgerseam.explain.surveys import Survey
-from badgerseam.explain.text import counted
+from badgerseam.explain.text import pluralize
 from badgerseam.model.job import HIGH_RANK, RANKS, Attempt, Job, Stage
 from badgerseam.model.model import Model
 from badgerseam.model.resources import Resources
-from badgerseam.sched.diagnosis import Barred, Finding
+from badgerseam.sched.diagnosis import Finding, Infeasibility
 from badgerseam.sched.snapshot import slots_of
-from badgerseam.sched.tentative_state import Bar
+from badgerseam.sched.tentative_state import Predicate
 from badgerseam.wire.explain import Ahead, Code, Group, Reason, State
 from badgerseam.wire.users import Terms
 
@@ -44,20 +44,20 @@
     ),
 }
 """What the rules of reckoning runs answer: what a job's run does, and what changes it."""
-MOST_NAMED = 5
+MAX_NAMED = 5
 SLOW_S = 2.0
 """The state service is asked several times a second."""
 
-CODES: dict[Bar, Code] = {
-    Bar.TYPE: "machine_type",
-    Bar.ZONE: "zone",
-    Bar.SPOT: "ordinary_only",
-    Bar.ONE_ZONE: "one_zone",
-    Bar.SCATTER: "scatter",
-    Bar.SHUNNED: "shunned",
-    Bar.SIZE: "too_large",
-    Bar.ROOM: "no_room",
-    Bar.LIMIT: "team_limit",
+CODES: dict[Predicate, Code] = {
+    Predicate.TYPE: "machine_type",
+    Predicate.ZONE: "zone",
+    Predicate.SPOT: "ordinary_only",
+    Predicate.ONE_ZONE: "one_zone",
+    Predicate.SCATTER: "scatter",
+    Predicate.AVOIDED: "shunned",
+    Predicate.SIZE: "too_large",
+    Predicate.FREE_CAPACITY: "no_room",
+    Predicate.LIMIT: "team_limit",
 }
 
 
@@ -124,11 +124,11 @@
     if held is not None:
         return [_held_back(context, held)]
     finding = context.survey.findings.get(context.job)
-    if finding is not None and finding.barred is None and _throttled(context, finding):
+    if finding is not None and finding.infeasibility is None and _throttled(context, finding):
         return [_term(context, "throttle")]
-    if finding is None and context.job.watch is not None:
-        return [members_wait(context.job, None)]
-    if finding is None or finding.barred is None:
+    if finding is None and context.job.changed_tasks is not None:
+        return [replica_reason(context.job, None)]
+    if finding is None or finding.infeasibility is None:
         return [
             Reason(
                 "next_plan",
@@ -137,7 +137,7 @@
                 expected_s=0.2,
             )
         ]
-    barred = finding.barred
+    barred = finding.infeasibility
     found: list[Reason] = []
     if not barred.machines:
         found.append(
@@ -150,11 +150,11 @@
         )
     others = sorted(barred.counts, key=lambda bar: (-barred.counts[bar], bar))
     for bar in [*barred.binding, *(bar for bar in others if bar not in barred.binding)]:
-        found.append(_bar_reason(context, finding, barred, bar))
-    if finding.request.span is not None:
+        found.append(_predicate_reason(context, finding, barred, bar))
+    if finding.request.gang_rules is not None:
         if finding.placed == 0:
-            found.append(members_wait(context.job, finding))
-    elif context.job.gang and finding.placed == 0:
+            found.append(replica_reason(context.job, finding))
+    elif context.job.is_gang and finding.placed == 0:
         found.append(
             Reason(
                 "gang",
@@ -164,14 +164,14 @@
                 change="Room for all of them at once.",
             )
         )
-    if not barred.machines or Bar.LIMIT not in barred.binding:
+    if not barred.machines or Predicate.LIMIT not in barred.binding:
         found += supply_reasons(context.model, context.supply, finding.request)
     return found
 
 
 def _everywhere(job: Job) -> str:
     """What tells a job with a mistake in it from one that met a faulty machine."""
-    if not job.at_fault:
+    if not job.is_at_fault:
         return ""
     return (
         f", on {len(job.failed_on)} machines, and nothing of it was ever done: the job itself is "
@@ -184,8 +184,8 @@
     if why in TERMS:
         return _term(context, why)
     if why in RUNS:
-        watch = context.model.watch
-        name = "" if watch is None else watch.held_name(job)
+        watch = context.model.job_observer
+        name = "" if watch is None else watch.holding_run_name(job)
         text, change = RUNS[why]
         return Reason(
             "reckoning_run",
@@ -195,7 +195,7 @@
             who=[name],
         )
     if why == "backoff":
-        machines = [context.model.machines.get(index) for index in sorted(job.shunned)]
+        machines = [context.model.machines.get(index) for index in sorted(job.avoided_machines)]
         return Reason(
             "backoff",
             f"Its tasks have failed {job.errors} times in a row"
@@ -204,7 +204,7 @@
             expected_s=round(max(0.0, job.retry_at - context.now), 1),
             change="The pause ends. If the job fails on every machine, look at its output and "
             "cancel it.",
-            who=[machine.name for machine in machines if machine is not None][:MOST_NAMED],
+            who=[machine.name for machine in machines if machine is not None][:MAX_NAMED],
         )
     if why == "failing":
         return Reason(
@@ -243,7 +243,7 @@
         text, change = "Its begin time has not come.", "The time comes, or is changed."
     elif why in ("dependency", "dependency_never"):
         unmet = context.rules.unmet(job)
-        who = [f"{entry.kind}:{entry.job}" for entry in unmet][:MOST_NAMED]
+        who = [f"{entry.kind}:{entry.job}" for entry in unmet][:MAX_NAMED]
         some = "one" if terms.any else "all"
         text = f"{len(unmet)} of its {len(terms.depends)} dependencies are not met; {some} must be."
         change = "The jobs end as the dependencies want it."
@@ -259,11 +259,13 @@
     return Reason(TERMS[why], text, binding=True, expected_s=expected, change=change, who=who)
 
 
-def _bar_reason(context: Context, finding: Finding, barred: Barred, bar: Bar) -> Reason:
+def _predicate_reason(
+    context: Context, finding: Finding, barred: Infeasibility, bar: Predicate
+) -> Reason:
     text, change, who = _statement(context, finding, barred, bar)
     expected = None
-    if bar == Bar.ROOM and barred.room_in_s != float("inf"):
-        expected = round(barred.room_in_s, 1)
+    if bar == Predicate.FREE_CAPACITY and barred.capacity_in_s != float("inf"):
+        expected = round(barred.capacity_in_s, 1)
     return Reason(
         CODES[bar],
         text,
@@ -276,34 +278,34 @@
 
 
 def _statement(
-    context: Context, finding: Finding, barred: Barred, bar: Bar
+    context: Context, finding: Finding, barred: Infeasibility, bar: Predicate
 ) -> tuple[str, str, list[str]]:
     """The sentence, what would change it, and who it is about."""
     request, job, model = finding.request, context.job, context.model
     count = barred.counts.get(bar, 0)
     machines = f"{count} of {barred.machines} machines"
-    if bar == Bar.LIMIT:
+    if bar == Predicate.LIMIT:
         return _limit_statement(context, finding)
-    if bar == Bar.TYPE:
+    if bar == Predicate.TYPE:
         allowed = ", ".join(sorted(request.types or ()))
         return (
             f"{machines} are not of a type that the job allows ({allowed}).",
             "A machine of an allowed type, or a job that allows more types.",
             [],
         )
-    if bar == Bar.ZONE:
+    if bar == Predicate.ZONE:
         return (
             f"{machines} are not in the zone that the job names ({request.zone}).",
             "A machine in that zone, or a job that names none.",
             [],
         )
-    if bar == Bar.SPOT:
+    if bar == Predicate.SPOT:
         return (
             f"{machines} are spot machines, and the job may use ordinary ones only.",
             "An ordinary machine, or a job that may use spot machines.",
             [],
         )
-    if bar == Bar.ONE_ZONE:
+    if bar == Predicate.ONE_ZONE:
         zones = ", ".join(sorted(job.zones))
         return (
             f"{machines} are outside the zone of the job's other tasks ({zones}), and all of them "
@@ -311,62 +313,63 @@
             "Room in that zone.",
             [],
         )
-    if bar == Bar.SCATTER:
+    if bar == Predicate.SCATTER:
         return (
             f"{machines} are in zones that hold as many of the job's tasks as may be in one "
             f"({request.zone_limit}).",
             "Room in another zone.",
             [],
         )
-    if bar == Bar.SHUNNED:
-        names = [m.name for i in sorted(request.shunned) if (m := model.machines.get(i))]
+    if bar == Predicate.AVOIDED:
+        names = [m.name for i in sorted(request.avoided_machines) if (m := model.machines.get(i))]
         return (
             f"Tasks of the job have failed on {machines}.",
             "Room on another machine.",
-            names[:MOST_NAMED],
+            names[:MAX_NAMED],
         )
-    if bar == Bar.SIZE:
+    if bar == Predicate.SIZE:
         return (
-            f"{machines} are smaller than one task ({amount(request.need)}), even when empty.",
+            f"{machines} are smaller than one task ({amount(request.demand)}), even when empty.",
             "A larger machine.",
             [],
         )
-    return _room_statement(context, finding, barred, count)
+    return _capacity_statement(context, finding, barred, count)
 
 
 def _limit_statement(context: Context, finding: Finding) -> tuple[str, str, list[str]]:
     model, request = context.model, finding.request
     team = model.teams[request.team]
     own = [
-        (job.live * slots_of(job.need), job)
-        for job in model.open_jobs[team.share].values()
+        (job.live * slots_of(job.demand), job)
+        for job in model.open_jobs[team.shard].values()
         if job.team == request.team and job.live
     ]
     own.sort(key=lambda item: (-item[0], item[1].id))
-    held = finding.used.plus(finding.leaving)
+    held = finding.used.plus(finding.draining)
     return (
         f"The team {team.name} uses {amount(held)} of at most {amount(team.limit)}, and a "
-        f"task takes {amount(request.need)}.",
+        f"task takes {amount(request.demand)}.",
         "Tasks of the team end, or its limit is raised.",
-        [job.id for _, job in own[:MOST_NAMED]],
+        [job.id for _, job in own[:MAX_NAMED]],
     )
 
 
-def _room_statement(
-    context: Context, finding: Finding, barred: Barred, count: int
+def _capacity_statement(
+    context: Context, finding: Finding, barred: Infeasibility, count: int
 ) -> tuple[str, str, list[str]]:
     model, request = context.model, finding.request
     who = [
-        f"{model.teams[h.team].name}: {counted(h.tasks, 'task')} of {RANK_NAMES[h.rank]}, "
-        f"{amount(h.room)}"
-        for h in barred.holders[:MOST_NAMED]
+        f"{model.teams[h.team].name}: {pluralize(h.tasks, 'task')} of {RANK_NAMES[h.rank]}, "
+        f"{amount(h.capacity)}"
+        for h in barred.holders[:MAX_NAMED]
     ]
     team = model.teams[request.team]
     text = (
-        f"{count} of {barred.machines} machines have no room for a task ({amount(request.need)}); "
+        f"{count} of {barred.machines} machines have no room for a task "
+        f"({amount(request.demand)}); "
         f"the most that is free on one of them is {amount(barred.most_free)}."
     )
-    within = finding.used.plus(request.need).fits(team.guarantee)
+    within = finding.used.plus(request.demand).fits_in(team.guarantee)
     if request.high:
         text += " Nothing there may be evicted for it: no work of a lower rank, or it is only"
         text += " just starting or already being stopped."
@@ -392,16 +395,16 @@
         return "recording", "recording"
     if attempt.stage == Stage.FETCHING:
         return "fetching", "fetching"
-    if attempt.stage == Stage.SAVING:
+    if attempt.stage == Stage.CHECKPOINTING:
         return "stopping", "stopping"
     if attempt.stage == Stage.RUNNING:
         return "running", None
     if any(other.stopping for other in machine.attempts.values()) and not attempt.sent:
         return "launching", "victims_leaving"
     report_s = context.model.settings.params.workers.report_s
-    if context.now - max(machine.heard_at, machine.taken_at) > 3 * report_s:
+    if context.now - max(machine.last_heartbeat_at, machine.owned_since) > 3 * report_s:
         return "launching", "worker_silent"
-    if machine.failures > 0 or machine.unheard > 0:
+    if machine.push_failures > 0 or machine.missed_answers > 0:
         return "launching", "worker_unconfirmed"
     return "launching", "launching"
 
@@ -411,8 +414,8 @@
     names = sorted({attempt.machine.name for attempt in attempts})
     since = round(now - min(attempt.planned_at for attempt in attempts), 2)
     expected: float | None = None
-    who = names[:MOST_NAMED]
-    where = f"on {', '.join(who)}{' and others' if len(names) > MOST_NAMED else ''}"
+    who = names[:MAX_NAMED]
+    where = f"on {', '.join(who)}{' and others' if len(names) > MAX_NAMED else ''}"
     if code == "recording":
         text = f"Placed {where}; launched as soon as that is durable in the state service"
         text += (
@@ -434,10 +437,10 @@
         change = "The fetch ends; several on one machine share its rate."
     elif code == "victims_leaving":
         leaving = [o for a in attempts for o in a.machine.attempts.values() if o.stopping]
-        who = sorted({other.name for other in leaving})[:MOST_NAMED]
+        who = sorted({other.name for other in leaving})[:MAX_NAMED]
         grace = max((other.grace_s for other in leaving), default=0.0)
         text = (
-            f"Its room {where} is being left by {counted(len(leaving), 'task')} that were stopped"
+            f"Its room {where} is being left by {pluralize(len(leaving), 'task')} that were stopped"
         )
         costs = [other.cost for other in leaving if other.cost is not None]
         if costs:
@@ -447,7 +450,7 @@
                 for other in attempt.machine.attempts.values()
             )
             text += f" for it at a cost of {max(costs):.3f}"
-            text += f"; {counted(spared, 'task')} of lower rank spared"
+            text += f"; {pluralize(spared, 'task')} of lower rank spared"
         text += "."
         change = "They have saved and exited."
         expected = round(grace, 1)
@@ -461,7 +464,7 @@
         )
         change = "The worker answers, or reports by itself."
     elif code == "stopping":
-        saving = sum(attempt.stage == Stage.SAVING for attempt in attempts)
+        saving = sum(attempt.stage == Stage.CHECKPOINTING for attempt in attempts)
         text = f"Being stopped {where} ({saving} of {len(attempts)} saving); placed anew after it."
         change = "The worker shows that they have exited."
     else:
--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, field
 
 from badgerseam.clock import Clock
-from badgerseam.explain.text import counted
+from badgerseam.explain.text import pluralize
 from badgerseam.fleet.boot_times import SPREAD
 from badgerseam.fleet.demand import Offer, options, virtual_node
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
-from badgerseam.model.state import Share
+from badgerseam.model.state import Shard
 from badgerseam.sched.planner import Planner
-from badgerseam.sched.snapshot import Node, Request
-from badgerseam.sched.tentative_state import barred
+from badgerseam.sched.snapshot import MachineSnapshot, Request
+from badgerseam.sched.tentative_state import failed_job_predicates
 from badgerseam.wire.explain import CloudView, Reason
 
 VIEW_S = 1.0
@@ -36,7 +36,7 @@
 }
 
 
-class CloudWord:
+class LeaderCloudView:
     """The leader's view of the cloud, asked for at most once in VIEW_S however many want it."""
 
     def __init__(self, clock: Clock, ask: AskLeader) -> None:
@@ -67,24 +67,24 @@
     """A share's machines that take no tasks now, and what is on its way to it."""
 
     out_of_use: dict[str, list[Machine]] = field(default_factory=dict)
-    booting: list[tuple[Node, float]] = field(default_factory=list)
+    booting: list[tuple[MachineSnapshot, float]] = field(default_factory=list)
     """Machines that are not up, as PTS would see them, and in how many seconds they should be."""
-    hires: list[Node] = field(default_factory=list)
+    hires: list[MachineSnapshot] = field(default_factory=list)
     """Machines that were asked for, without an answer yet."""
     cloud: CloudView | None = None
 
 
-def supply_of(model: Model, planner: Planner, share: Share, cloud: CloudView | None) -> Supply:
+def supply_of(model: Model, planner: Planner, shard: Shard, cloud: CloudView | None) -> Supply:
     """Look at a share's machines once; callers hold the lock."""
     result = Supply(cloud=cloud)
     now, wall = model.clock.now(), model.clock.wall()
-    for machine in model.fleets[share.index].values():
-        why = planner.out_of_use(machine, now)
+    for machine in model.shard_machines[shard.index].values():
+        why = planner.unusable_reason(machine, now)
         if why is None:
             continue
         entry = model.types.get(machine.type)
         if why == "not_heard" and not machine.attempts and entry is not None:
-            left = machine.rented + SPREAD * entry.boot_s - wall
+            left = machine.rented_at + SPREAD * entry.boot_s - wall
             if left > 0:
                 offer = Offer(machine.type, machine.zone, machine.spot)
                 node = virtual_node(model.types, offer, machine.index)
@@ -92,9 +92,9 @@
                     result.booting.append((node, left))
                     continue
         result.out_of_use.setdefault(why, []).append(machine)
-    for hire, _ in model.hires.values():
+    for hire, _ in model.rentals.values():
         offer = Offer(hire.type, hire.zone, hire.spot)
-        for _ in range(hire.shares.count(share.index)):
+        for _ in range(hire.shards.count(shard.index)):
             node = virtual_node(model.types, offer, -1)
             if node is not None:
                 result.hires.append(node)
@@ -109,7 +109,7 @@
         found.append(
             Reason(
                 "booting",
-                f"{counted(len(useful), 'machine')} that could take its tasks "
+                f"{pluralize(len(useful), 'machine')} that could take its tasks "
                 f"{'is' if len(useful) == 1 else 'are'} starting.",
                 machines=len(useful),
                 expected_s=round(min(useful), 1),
@@ -120,7 +120,7 @@
         found.append(
             Reason(
                 "renting",
-                f"{counted(asked, 'machine')} that could take its tasks "
+                f"{pluralize(asked, 'machine')} that could take its tasks "
                 f"{'has' if asked == 1 else 'have'} been asked of the cloud, without an answer "
                 "yet.",
                 machines=asked,
@@ -134,7 +134,7 @@
         found.append(
             Reason(
                 "out_of_use",
-                f"{counted(sum(map(len, down.values())), 'machine')} of its share "
+                f"{pluralize(sum(map(len, down.values())), 'machine')} of its share "
                 f"take no tasks now: {', '.join(parts)}.",
                 machines=sum(map(len, down.values())),
                 who=names,
@@ -143,8 +143,8 @@
     return found
 
 
-def _serves(request: Request, node: Node) -> bool:
-    return request.need.fits(node.total) and not barred(request, node)
+def _serves(request: Request, node: MachineSnapshot) -> bool:
+    return request.demand.fits_in(node.total) and not failed_job_predicates(request, node)
 
 
 def _cloud_reasons(model: Model, view: CloudView | None, request: Request) -> list[Reason]:
