--- a/badgerseam/explain/surveys.py
+++ b/badgerseam/explain/surveys.py
@@ -13,21 +13,22 @@
 from dataclasses import dataclass, field
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.explain.supply import CloudWord, Supply, supply_of
-from badgerseam.http.budget import Budget
+from badgerseam.errors import BadgerseamError
+from badgerseam.explain.supply import LeaderCloudView, Supply, supply_of
+from badgerseam.http.budget import RateBudget
 from badgerseam.model.job import Job
 from badgerseam.model.model import Model
-from badgerseam.model.state import Share
-from badgerseam.sched.diagnosis import Finding, still, survey
+from badgerseam.model.state import Shard
+from badgerseam.sched.diagnosis import Finding, survey, without_job_state
 from badgerseam.sched.planner import Planner
 from badgerseam.wire.explain import CloudView
 
-PATIENCE_S = 0.3
+SURVEY_TIMEOUT_S = 0.3
 """Rather than wait longer for the allowance, an earlier survey is used."""
-KEPT = 3
+MAX_RECENT_SURVEYS = 3
 
 
-class NotOwner(Exception):
+class NotOwnerError(BadgerseamError):
     """This controller does not plan for the share, or cannot vouch for it now."""
 
 
@@ -45,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class _Batch:
+class _QuestionBatch:
     jobs: set[Job] = field(default_factory=set)
     future: asyncio.Future[Survey] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
@@ -59,7 +60,7 @@
         self,
         model: Model,
         planner: Planner,
-        cloud: CloudWord,
+        cloud: LeaderCloudView,
         part: float,
         slice_s: float,
         most_age_s: float,
@@ -73,48 +74,48 @@
         self._most_age_s = most_age_s
         self._done: dict[int, deque[tuple[int, Survey]]] = {}
         """The latest surveys of each share, and the terms they were made under."""
-        self._allowance = Budget(clock, part, 2.0, least_burst=slice_s)
-        self._waiting: dict[int, _Batch] = {}
+        self._allowance = RateBudget(clock, part, 2.0, least_burst=slice_s)
+        self._waiting: dict[int, _QuestionBatch] = {}
         self._tasks = BackgroundTasks()
         self.walks = 0
         self.longest_slice_s = 0.0
 
-    async def ask(self, share: Share, jobs: set[Job]) -> Survey:
+    async def ask(self, shard: Shard, jobs: set[Job]) -> Survey:
         """A survey of jobs of one share that began after the question; NotOwner if it was given up
         meanwhile.
 
         While the allowance is used up, by a list of all jobs perhaps, an earlier survey that
         covers them serves if it is no older than `most_age_s`: answers tell their age.
         """
-        if self._allowance.wait_s(0.0) > PATIENCE_S:
-            known = self._recent(share, jobs)
+        if self._allowance.wait_s(0.0) > SURVEY_TIMEOUT_S:
+            known = self._recent(shard, jobs)
             if known is not None:
                 return known
-        batch = self._waiting.get(share.index)
+        batch = self._waiting.get(shard.index)
         if batch is None:
-            batch = self._waiting[share.index] = _Batch()
-            self._tasks.spawn(self._run(share, batch))
+            batch = self._waiting[shard.index] = _QuestionBatch()
+            self._tasks.spawn(self._run(shard, batch))
         batch.jobs |= jobs
         # Whoever gives up waiting must not take the answer from the others.
         return await asyncio.shield(batch.future)
 
-    def _recent(self, share: Share, jobs: set[Job]) -> Survey | None:
+    def _recent(self, shard: Shard, jobs: set[Job]) -> Survey | None:
         now = self._clock.now()
-        for term, known in self._done.get(share.index, ()):
+        for term, known in self._done.get(shard.index, ()):
             covered = all(job in known.findings or job in known.held_back for job in jobs)
-            if term == share.term and covered and now - known.at <= self._most_age_s:
+            if term == shard.term and covered and now - known.at <= self._most_age_s:
                 return known
         return None
 
-    async def _run(self, share: Share, batch: _Batch) -> None:
+    async def _run(self, shard: Shard, batch: _QuestionBatch) -> None:
         await asyncio.sleep(0)
         cloud = await self._cloud.get()
         while (pause := self._allowance.wait_s(0.0)) > 0:
             await asyncio.sleep(pause)
         # From here on questions go into the next walk: this one's snapshot would be too old.
-        del self._waiting[share.index]
+        del self._waiting[shard.index]
         try:
-            result = await self._walk(share, batch.jobs, cloud)
+            result = await self._walk(shard, batch.jobs, cloud)
         except Exception as error:
             batch.future.set_exception(error)
             # Nobody may be waiting any more.
@@ -122,22 +123,22 @@
         else:
             batch.future.set_result(result)
 
-    async def _walk(self, share: Share, jobs: set[Job], cloud: CloudView | None) -> Survey:
+    async def _walk(self, shard: Shard, jobs: set[Job], cloud: CloudView | None) -> Survey:
         model, planner = self._model, self._planner
         begun = time.perf_counter()
         with model.lock:
-            if not share.owned:
-                raise NotOwner(str(share.index))
-            term = share.term
+            if not shard.owned:
+                raise NotOwnerError(str(shard.index))
+            term = shard.term
             now = self._clock.now()
-            requests = still(planner.requests(share))
-            snapshot = planner.snapshot(share, planner.nodes(share), requests)
+            requests = without_job_state(planner.requests(shard))
+            snapshot = planner.snapshot(shard, planner.nodes(shard), requests)
             by_index = {job.index: job for job in jobs}
             result = Survey(now, model.revision, {}, {})
-            result.supply = supply_of(model, planner, share, cloud)
+            result.supply = supply_of(model, planner, shard, cloud)
             for job in jobs:
                 if job.waiting() > 0:
-                    why = planner.held_back(job, now)
+                    why = planner.hold_reason(job, now)
                     if why is not None:
                         result.held_back[job] = why
         self.walks += 1
@@ -153,9 +154,11 @@
                 await asyncio.sleep(0)
                 begun = time.perf_counter()
         self._charge(time.perf_counter() - begun)
-        if not share.owned or share.term != term:
-            raise NotOwner(str(share.index))
-        self._done.setdefault(share.index, deque(maxlen=KEPT)).appendleft((term, result))
+        if not shard.owned or shard.term != term:
+            raise NotOwnerError(str(shard.index))
+        self._done.setdefault(shard.index, deque(maxlen=MAX_RECENT_SURVEYS)).appendleft(
+            (term, result)
+        )
         return result
 
     def _charge(self, seconds: float) -> None:
--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -18,7 +18,7 @@
 
 def level_of(request: pts.Request) -> Level:
     """What decides between shares, where classes are kept."""
-    return -request.rank, request.klass
+    return -request.rank, request.priority_class
 
 
 def _turn(request: pts.Request) -> tuple[float, ...]:
@@ -27,7 +27,7 @@
 
 def in_turn(requests: list[pts.Request]) -> list[pts.Request]:
     """Requests by level, where classes are kept; else as they are."""
-    return sorted(requests, key=level_of) if any(r.klass for r in requests) else requests
+    return sorted(requests, key=level_of) if any(r.priority_class for r in requests) else requests
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,13 +61,13 @@
 
 
 @dataclass(slots=True)
-class _Want:
+class _UnplacedTasks:
     request: pts.Request
     count: int
     zones: dict[str, int]
 
 
-class Wants:
+class UnplacedDemand:
     """Tasks that found no room, to be counted into machines one after the other.
 
     No plan is made here: whether a machine serves is a matter of amounts and of the jobs' own
@@ -82,37 +82,41 @@
     ) -> None:
         found = [request for request in requests if request.job in waiting]
         found.sort(key=_turn)
-        self._wants = [_Want(r, waiting[r.job], dict(r.zones)) for r in found if r.span is None]
+        self._wants = [
+            _UnplacedTasks(r, waiting[r.job], dict(r.zone_counts))
+            for r in found
+            if r.gang_rules is None
+        ]
         if len(self._wants) < len(found):
             self._wants += _replicas(found, waiting)
             self._wants.sort(key=lambda want: _turn(want.request))
         self._left = {index: team.limit.minus(team.used) for index, team in teams.items()}
-        self._least = least_of(want.request.need for want in self._wants)
+        self._least = least_of(want.request.demand for want in self._wants)
 
     def __bool__(self) -> bool:
         return bool(self._wants)
 
-    def wanted(self, node: pts.Node, level: Level | None) -> bool:
+    def is_useful(self, node: pts.MachineSnapshot, level: Level | None) -> bool:
         """Whether anything of a level would go into an empty machine; True if none is given."""
         return level is None or any(
             level_of(want.request) == level and self._fits(want, node, node.free) > 0
             for want in self._wants
         )
 
-    def fill(self, node: pts.Node, room: Resources) -> int:
+    def fill(self, node: pts.MachineSnapshot, room: Resources) -> int:
         """Count tasks into the room on a machine; how many went in."""
         placed = 0
         emptied = False
         for want in self._wants:
             # With a long backlog most machines hold no room for any of it: looking at all of it
             # on each of them took a quarter of the leader's rounds.
-            if not self._least.fits(room):
+            if not self._least.fits_in(room):
                 break
             count = self._fits(want, node, room)
             if count <= 0:
                 continue
             request = want.request
-            taken = request.need.times(count)
+            taken = request.demand.times(count)
             room = room.minus(taken)
             self._left[request.team] = self._left[request.team].minus(taken)
             want.zones[node.zone] = want.zones.get(node.zone, 0) + count
@@ -121,17 +125,17 @@
             emptied = emptied or want.count <= 0
         if emptied:
             self._wants = [want for want in self._wants if want.count > 0]
-            self._least = least_of(want.request.need for want in self._wants)
+            self._least = least_of(want.request.demand for want in self._wants)
         return placed
 
-    def _fits(self, want: _Want, node: pts.Node, room: Resources) -> int:
+    def _fits(self, want: _UnplacedTasks, node: pts.MachineSnapshot, room: Resources) -> int:
         request = want.request
-        if not request.need.fits(room) or not pts.allowed(request, node, want.zones):
+        if not request.demand.fits_in(room) or not pts.job_rules_allow(request, node, want.zones):
             return 0
         count = min(
             want.count,
-            request.need.times_in(room),
-            request.need.times_in(self._left[request.team]),
+            request.demand.count_in(room),
+            request.demand.count_in(self._left[request.team]),
         )
         if request.zone_limit is not None:
             count = min(count, request.zone_limit - want.zones.get(node.zone, 0))
@@ -150,23 +154,23 @@
             node = _virtual(option, -1)
             while len(rented) < most and self.fill(node, node.free) > 0:
                 rented.append(option.offer)
-                if head.request.span is not None and head.request.span.same_type:
+                if head.request.gang_rules is not None and head.request.gang_rules.same_type:
                     head.request = replace(head.request, types=frozenset({option.offer.type}))
                 if head.request.zone_limit is not None or not (self and self._wants[0] is head):
                     break
         return rented
 
-    def _alike(self, node: pts.Node, most: int) -> int:
+    def _alike(self, node: pts.MachineSnapshot, most: int) -> int:
         """How many of the tasks a machine may take, as far as that matters."""
         found = 0
         for want in self._wants:
             if found >= most:
                 break
-            if pts.allowed(want.request, node, want.zones):
+            if pts.job_rules_allow(want.request, node, want.zones):
                 found += want.count
         return found
 
-    def _cheapest(self, head: _Want, choices: list[Option]) -> Option | None:
+    def _cheapest(self, head: _UnplacedTasks, choices: list[Option]) -> Option | None:
         best: Option | None = None
         best_price = 0.0
         for option in choices:
@@ -175,7 +179,7 @@
             if each <= 0:
                 continue
             # What others would use of it makes a large machine worth its price.
-            each = head.request.need.times_in(option.total)
+            each = head.request.demand.count_in(option.total)
             alike = self._alike(node, each)
             crowd = head.zones.get(option.offer.zone, 0) if head.request.zone_limit else 0
             price = option.price / min(each, alike) * (1 + 0.02 * crowd)
@@ -186,33 +190,33 @@
         return best
 
 
-def _replicas(found: list[pts.Request], waiting: dict[int, int]) -> list[_Want]:
+def _replicas(found: list[pts.Request], waiting: dict[int, int]) -> list[_UnplacedTasks]:
     """The replicas that span machines and found no room, each to be rented for as a whole."""
     left = dict(waiting)
     wants = []
     # Of replicas that are alike the first ones were placed.
     for request in reversed(found):
-        span = request.span
+        span = request.gang_rules
         if span is None or left[request.job] <= 0:
             continue
         left[request.job] -= request.count
-        zones = dict(request.zones)
-        if span.kept and span.same_zone:
-            request = replace(request, zone=span.kept[0][1])
+        zones = dict(request.zone_counts)
+        if span.reserved and span.same_zone:
+            request = replace(request, zone=span.reserved[0][1])
         elif span.zone is not None:
             request = replace(request, zone=span.zone)
         elif span.same_zone:
             request = replace(request, one_zone=True)
             zones = {}
-        if span.kept and span.same_type:
-            request = replace(request, types=frozenset({span.kept[0][2]}))
-        wants.append(_Want(request, request.count, zones))
+        if span.reserved and span.same_type:
+            request = replace(request, types=frozenset({span.reserved[0][2]}))
+        wants.append(_UnplacedTasks(request, request.count, zones))
     return wants[::-1]
 
 
-def _virtual(option: Option, index: int) -> pts.Node:
+def _virtual(option: Option, index: int) -> pts.MachineSnapshot:
     offer = option.offer
-    return pts.Node(
+    return pts.MachineSnapshot(
         index,
         offer.type,
         offer.zone,
@@ -226,7 +230,9 @@
     )
 
 
-def virtual_node(types: dict[str, MachineType], offer: Offer, index: int) -> pts.Node | None:
+def virtual_node(
+    types: dict[str, MachineType], offer: Offer, index: int
+) -> pts.MachineSnapshot | None:
     """A machine that was asked for, as if it were there."""
     entry = types.get(offer.type)
     if entry is None:
--- a/badgerseam/fleet/evacuation.py
+++ b/badgerseam/fleet/evacuation.py
@@ -10,14 +10,14 @@
 from badgerseam.sched import pts
 from badgerseam.sched.planner import Planner
 
-VACATE_S = 3.0
+EVACUATION_INTERVAL_S = 3.0
 """How long HP work, or a claim to a guarantee, waits before machines of another share are
 vacated."""
-MOST_VACATED = 4
+MAX_EVACUATED = 4
 """Of these at a time for one share."""
 
 
-class Vacancies:
+class Evacuation:
     """The paper's plan evicts within a share. For HP work, and for what a team claims of its
     guarantee, low-priority work and borrowers of other shares are in the way as well, where they
     hold all there is of the machines that it needs."""
@@ -27,10 +27,10 @@
         self._planner = planner
         self._vacated_at: dict[int, float] = {}
 
-    def look(
+    def select(
         self,
         snapshots: list[pts.Snapshot],
-        decisions: policy.Decisions,
+        decisions: policy.FleetDecisions,
         moving: set[str],
         now: float,
     ) -> dict[int, list[Machine]]:
@@ -43,19 +43,19 @@
         borrowers: set[int] | None = None
         for index, snapshot in enumerate(snapshots):
             waiting = decisions.waiting[index]
-            if not waiting or any(share == index for _, share in decisions.rents):
+            if not waiting or any(shard == index for _, shard in decisions.rents):
                 continue
-            if now - self._vacated_at.get(index, -1e9) < VACATE_S:
+            if now - self._vacated_at.get(index, -1e9) < EVACUATION_INTERVAL_S:
                 continue
             for request in in_turn(snapshot.requests):
                 job = model.jobs[request.job]
-                if request.job not in waiting or job is None or job.failing:
+                if request.job not in waiting or job is None or job.is_failing:
                     continue
-                if now - job.seen_at < VACATE_S:
+                if now - job.last_seen_at < EVACUATION_INTERVAL_S:
                     continue
                 if not request.high:
                     team = snapshot.teams[request.team]
-                    if not team.used.plus(request.need).fits(team.guarantee):
+                    if not team.used.plus(request.demand).fits_in(team.guarantee):
                         continue
                     if borrowers is None:
                         borrowers = self._borrowers()
@@ -73,12 +73,12 @@
         return {
             index
             for index, team in enumerate(model.teams)
-            if not model.usage(index).fits(team.guarantee)
+            if not model.usage(index).fits_in(team.guarantee)
         }
 
     def _cheapest(
         self,
-        share: int,
+        shard: int,
         request: pts.Request,
         count: int,
         borrowers: set[int],
@@ -89,7 +89,7 @@
         tasks. HP work takes those of low-priority work, the rest those of borrowers only."""
         found: list[tuple[float, int]] = []
         for machine in self._model.machines.values():
-            if machine.share == share or machine.name in moving or machine.dropped:
+            if machine.shard == shard or machine.name in moving or machine.dropped:
                 continue
             if machine.draining or machine.lost or not machine.attempts:
                 continue
@@ -98,18 +98,18 @@
                 for attempt in machine.attempts.values()
             ):
                 continue
-            if not pts.allowed(request, self._planner.node(machine, now)):
+            if not pts.job_rules_allow(request, self._planner.node(machine, now)):
                 continue
             waste = sum(
-                pts.slots_of(attempt.job.need) * (now - attempt.planned_at)
+                pts.slots_of(attempt.job.demand) * (now - attempt.planned_at)
                 for attempt in machine.attempts.values()
             )
             found.append((waste, machine.index))
         chosen: list[Machine] = []
-        for _, index in sorted(found)[:MOST_VACATED]:
+        for _, index in sorted(found)[:MAX_EVACUATED]:
             if count <= 0:
                 break
             machine = self._model.machines[index]
             chosen.append(machine)
-            count -= request.need.times_in(machine.total)
+            count -= request.demand.count_in(machine.total)
         return chosen
--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -14,34 +14,34 @@
 from badgerseam.model.model import Model
 from badgerseam.model.resources import NOTHING
 from badgerseam.sched.planner import Planner
-from badgerseam.store.machine_records import Roster
+from badgerseam.store.machine_records import MachineRecords
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.fleet")
 
 EMPTY_S = 3.0
 """How long a drained and empty machine may wait to be given up, while changes are scarce."""
-DROP = -1
+NO_SHARD = -1
 """Where a machine is moved that is to be released."""
 
 
-class Returns:
+class MachineTransfer:
     """An owner's part: giving up machines of its shares, or passing them on."""
 
-    def __init__(self, model: Model, roster: Roster, planner: Planner) -> None:
+    def __init__(self, model: Model, roster: MachineRecords, planner: Planner) -> None:
         self._model = model
         self._roster = roster
         self._planner = planner
 
     async def rewrite(
-        self, machines: list[Machine], share: int, patience_s: float = 0.0
+        self, machines: list[Machine], shard: int, patience_s: float = 0.0
     ) -> set[str]:
         """Write machines of one share anew, on condition that we still own it; those written."""
         if not machines:
             return set()
-        owner = self._model.shares[machines[0].share]
+        owner = self._model.shards[machines[0].shard]
         term = owner.term
-        addresses = {machine.name: machine.addr for machine in machines}
+        addresses = {machine.name: machine.address for machine in machines}
         versions = {machine.name: machine.version for machine in machines}
 
         def edit(row: wire.StoredMachine) -> wire.StoredMachine:
@@ -49,12 +49,12 @@
             if machine is None or machine.version != versions[row.name]:
                 # It was moved without an answer, and has come back since, perhaps with work on it.
                 return row
-            if row.share != owner.index:
+            if row.shard != owner.index:
                 return row
-            addr = addresses[row.name]
-            if share == DROP:
-                return msgspec.structs.replace(row, dropped=True, addr=addr)
-            return msgspec.structs.replace(row, share=share, addr=addr)
+            address = addresses[row.name]
+            if shard == NO_SHARD:
+                return msgspec.structs.replace(row, dropped=True, address=address)
+            return msgspec.structs.replace(row, shard=shard, address=address)
 
         return await self._roster.change(
             machines,
@@ -64,59 +64,59 @@
             patience_s,
         )
 
-    async def drop(self) -> None:
+    async def release_finished(self) -> None:
         """Have machines released that are lost, or drained and empty."""
         parts: dict[tuple[int, float], list[Machine]] = {}
         with self._model.lock:
-            for machine in self.finished():
-                machine.returning = True
+            for machine in self.releasable():
+                machine.releasing = True
                 # Tasks of one that is lost, or does not answer, wait for it to be gone.
                 patience_s = 0.0 if machine.lost or machine.given_up else EMPTY_S
-                parts.setdefault((machine.share, patience_s), []).append(machine)
+                parts.setdefault((machine.shard, patience_s), []).append(machine)
 
         async def give_up(machines: list[Machine], patience_s: float) -> None:
             try:
-                await self.rewrite(machines, DROP, patience_s)
+                await self.rewrite(machines, NO_SHARD, patience_s)
             finally:
                 for machine in machines:
-                    machine.returning = False
+                    machine.releasing = False
 
         await asyncio.gather(*(give_up(part, key[1]) for key, part in parts.items()))
 
-    async def give(self, machines: list[Machine], share: int, vacate: bool = False) -> set[str]:
+    async def transfer(self, machines: list[Machine], shard: int, vacate: bool = False) -> set[str]:
         """Pass empty machines of a share on to another, or, to vacate them, have their work
         stopped; the names for which that is done."""
         done: set[str] = set()
         giving = []
         with self._model.lock:
             for machine in machines:
-                if machine.share == share:
+                if machine.shard == shard:
                     # Asked once more by a leader that does not see the move yet. Written anew in
                     # its place it went on draining, and was released.
                     done.add(machine.name)
-                elif vacate and share == DROP:
+                elif vacate and shard == NO_SHARD:
                     if not machine.draining and self._movable(machine):
                         log.info("%s is emptied: others have room", machine.name)
                         machine.draining = True
                         done.add(machine.name)
                 elif vacate and not machine.draining and self._low_only(machine):
-                    log.info("vacating %s for share %d", machine.name, share)
+                    log.info("vacating %s for share %d", machine.name, shard)
                     machine.draining = True
-                    machine.vacate_to = share
+                    machine.evacuate_to = shard
                     done.add(machine.name)
-                elif self._empty(machine) and not machine.giving:
-                    machine.vacate_to = None
-                    machine.draining = machine.giving = True
+                elif self._empty(machine) and not machine.transferring:
+                    machine.evacuate_to = None
+                    machine.draining = machine.transferring = True
                     giving.append(machine)
-        written = await self.rewrite(giving, share)
+        written = await self.rewrite(giving, shard)
         for machine in giving:
-            machine.giving = False
+            machine.transferring = False
             if machine.name not in written:
                 machine.draining = False
         return done | written
 
     def _low_only(self, machine: Machine) -> bool:
-        return self._model.shares[machine.share].owned and all(
+        return self._model.shards[machine.shard].owned and all(
             attempt.job.rank < HIGH_RANK for attempt in machine.attempts.values()
         )
 
@@ -124,11 +124,11 @@
         """Whether only replicas are on it, that have run for long enough to be moved."""
         now = self._model.clock.now()
         return (
-            self._model.shares[machine.share].owned
-            and machine.strays == NOTHING
-            and machine.recall_at is None
+            self._model.shards[machine.shard].owned
+            and machine.untracked_use == NOTHING
+            and machine.reclaim_at is None
             and all(
-                attempt.job.service
+                attempt.job.is_service
                 and attempt.stage == Stage.RUNNING
                 and not attempt.stopping
                 and now - attempt.started_at > policy.SETTLED_S / 2
@@ -136,42 +136,42 @@
             )
         )
 
-    def vacated(self) -> list[tuple[Machine, int]]:
+    def evacuated(self) -> list[tuple[Machine, int]]:
         """Machines that have become empty for another share."""
         return [
-            (machine, machine.vacate_to)
+            (machine, machine.evacuate_to)
             for machine in self._model.machines.values()
-            if machine.vacate_to is not None and not machine.giving and self._empty(machine)
+            if machine.evacuate_to is not None and not machine.transferring and self._empty(machine)
         ]
 
     def _empty(self, machine: Machine) -> bool:
         return (
-            self._model.shares[machine.share].owned
-            and (not machine.draining or machine.vacate_to is not None)
+            self._model.shards[machine.shard].owned
+            and (not machine.draining or machine.evacuate_to is not None)
             and not machine.dropped
-            and (machine.session == 0 or machine.clear)
-            and self._planner.free_of_work(machine)
+            and (machine.incarnation == 0 or machine.commands_settled)
+            and self._planner.is_free_of_work(machine)
         )
 
-    def finished(self) -> list[Machine]:
+    def releasable(self) -> list[Machine]:
         """Machines of owned shares that are to be released: lost, or drained and empty."""
         model = self._model
         return [
             machine
             for machine in model.machines.values()
-            if model.shares[machine.share].owned
+            if model.shards[machine.shard].owned
             and not machine.dropped
-            and not machine.returning
+            and not machine.releasing
             and (
                 machine.lost
                 or machine.given_up
                 or (
                     machine.draining
-                    and machine.recall_at is None
-                    and machine.session > 0
-                    and not machine.giving
-                    and machine.vacate_to is None
-                    and self._planner.free_of_work(machine)
+                    and machine.reclaim_at is None
+                    and machine.incarnation > 0
+                    and not machine.transferring
+                    and machine.evacuate_to is None
+                    and self._planner.is_free_of_work(machine)
                 )
             )
         ]
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -9,24 +9,24 @@
 from statistics import NormalDist
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.membership import Member
+from badgerseam.cluster.membership import Membership
 from badgerseam.fleet import policy
-from badgerseam.fleet.boot_times import SPREAD, Boots
-from badgerseam.fleet.cloud import Cloud, CloudTrouble
+from badgerseam.fleet.boot_times import SPREAD, BootTimes
+from badgerseam.fleet.cloud import CloudClient, CloudError
 from badgerseam.fleet.demand import Offer, options, virtual_node
-from badgerseam.fleet.evacuation import VACATE_S, Vacancies
-from badgerseam.fleet.machine_transfer import DROP
-from badgerseam.fleet.scale_in import Releases
-from badgerseam.fleet.scale_out import Hiring
+from badgerseam.fleet.evacuation import EVACUATION_INTERVAL_S, Evacuation
+from badgerseam.fleet.machine_transfer import NO_SHARD
+from badgerseam.fleet.scale_in import ScaleIn
+from badgerseam.fleet.scale_out import ScaleOut
 from badgerseam.model.keys import LEADER_KEY, TYPES_KEY
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
-from badgerseam.model.state import Arrival, Share
+from badgerseam.model.state import Arrival, Shard
 from badgerseam.sched import pts
 from badgerseam.sched.planner import Planner
 from badgerseam.settings import Tunables
-from badgerseam.store.committer import Committer, Urgency
-from badgerseam.store.machine_records import NOT_WRITTEN, Roster
+from badgerseam.store.committer import GroupCommitter, Urgency
+from badgerseam.store.machine_records import WRITE_ERRORS, MachineRecords
 from badgerseam.wire import cloud as cloud_wire
 from badgerseam.wire import state as wire
 from badgerseam.wire.explain import Blocked, CloudView
@@ -34,21 +34,21 @@
 log = logging.getLogger("badgerseam.fleet")
 
 ROUND_S = 0.25
-MOST_ROUND_S = 1.0
-ROUND_PART = 0.05
+MAX_ROUND_S = 1.0
+ROUND_TIME_FRACTION = 0.05
 """Part of the time that rounds may take: with a fleet or a burst of any size they get rarer, and
 the leader goes on answering its workers."""
 MINIMUM_S = 60.0
 """The least that a machine is charged for."""
 TYPES_S = 20.0
 TELL_S = 10.0
-DEPARTURES = 0.8
+TYPICAL_QUANTILE = 0.8
 """Standard deviations of arrivals that departures make room for (measured: no reserve was needed
 where four fifths are to start in time)."""
-MOST_AT_ONCE = 150
+MAX_RENTALS_AT_ONCE = 150
 """Machines moved or rented in one round. A bound on the time a round takes, not on the fleet:
 rounds come four times a second, and the cloud's calls, of MOST_HOSTS each, are scarcer."""
-MOST_HOSTS = 50
+MAX_MACHINES_LISTED = 50
 """The protocol's limit of machines in one rental."""
 SHOWN_S = 2.0
 """For how long a move that is done may stay unseen: another may have followed it by then."""
@@ -56,24 +56,24 @@
 ADDRESSES_S = 2.5
 """Between requests for the addresses of machines that were taken over."""
 
-Mover = Callable[[list[Machine], int, bool], Awaitable[set[str]]]
+TransferMachines = Callable[[list[Machine], int, bool], Awaitable[set[str]]]
 """Passes machines on to a share, or has them vacated for it; the names for which that is done."""
 
 
-class Fleet:
+class FleetManager:
     """Keeps the machines in line with the work, while this controller leads."""
 
     def __init__(
         self,
         model: Model,
-        member: Member,
-        committer: Committer,
-        roster: Roster,
-        cloud: Cloud,
+        member: Membership,
+        committer: GroupCommitter,
+        roster: MachineRecords,
+        cloud: CloudClient,
         planner: Planner,
         tunables: Tunables,
         random: Random,
-        mover: Mover,
+        mover: TransferMachines,
         changed: Callable[[], None],
     ) -> None:
         self._model = model
@@ -86,10 +86,10 @@
         self._mover = mover
         self._changed = changed
         self._clock = model.clock
-        self.hiring = Hiring(model, member, committer, roster, cloud, self._spawn, changed)
-        self.boots = Boots(model)
-        self._vacancies = Vacancies(model, planner)
-        self.releases = Releases(model, member, roster, cloud, self._spawn, changed)
+        self.scale_out = ScaleOut(model, member, committer, roster, cloud, self._spawn, changed)
+        self.boot_times = BootTimes(model)
+        self._evacuation = Evacuation(model, planner)
+        self.scale_in = ScaleIn(model, member, roster, cloud, self._spawn, changed)
         self.class_of: Callable[[Arrival], int] | None = None
         """The priority class of an arrival, where classes are kept."""
         self._moving: set[str] = set()
@@ -111,14 +111,18 @@
                 objective.kind == "guarantee" or (objective.kind == "wait" and objective.job_class)
             )
         }
-        share = max(
-            (o.share or 0.0 for o in model.settings.params.objectives if o.kind == "guarantee"),
+        shard = max(
+            (
+                o.required_fraction or 0.0
+                for o in model.settings.params.objectives
+                if o.kind == "guarantee"
+            ),
             default=0.0,
         )
         # Of a normal spread, this much is needed for the share that operators ask for; what they
         # accept to be late without further trouble, departures make up for.
-        quantile = NormalDist().inv_cdf(min(max(share, 0.5), 0.999))
-        self._guarantee_spread = tunables.reserve_guarantee * max(0.0, quantile - DEPARTURES)
+        quantile = NormalDist().inv_cdf(min(max(shard, 0.5), 0.999))
+        self._guarantee_spread = tunables.reserve_guarantee * max(0.0, quantile - TYPICAL_QUANTILE)
         self._list_pause_s = 1.5
 
     def _spawn(self, work: Awaitable[object]) -> None:
@@ -142,13 +146,13 @@
                     await self._publish(types)
                     if self._member.is_leader:
                         pause = TYPES_S
-                except CloudTrouble as error:
+                except CloudError as error:
                     log.debug("machine types: %s", error)
             await asyncio.sleep(pause * (0.8 + 0.4 * self._random.random()))
 
     async def _publish(self, types: list[cloud_wire.MachineType]) -> None:
         model = self._model
-        held = model.leader
+        held = model.leader_claim
         leads = held is not None and self._member.is_leader
         known = {entry.name: entry for entry in types} == model.types
         # Known to a leader from before it led they are not durable yet: a controller that was
@@ -169,7 +173,7 @@
                 [wire.Write(put=TYPES_KEY, value=value)],
                 5.0,
             )
-        except NOT_WRITTEN:
+        except WRITE_ERRORS:
             return
         with model.lock:
             model.apply(TYPES_KEY, value, revision)
@@ -186,7 +190,7 @@
                 asked = self._clock.wall()
                 try:
                     listed = await self._cloud.machines()
-                except CloudTrouble as error:
+                except CloudError as error:
                     log.debug("machine list: %s", error)
                 else:
                     if self._member.is_leader:
@@ -198,12 +202,12 @@
         """Rent, move and release, a few times a second."""
         took_s = 0.0
         while True:
-            await asyncio.sleep(min(max(ROUND_S, took_s / ROUND_PART), MOST_ROUND_S))
+            await asyncio.sleep(min(max(ROUND_S, took_s / ROUND_TIME_FRACTION), MAX_ROUND_S))
             if not self._member.is_leader or not self._model.loaded:
-                self.boots.forget()
+                self.boot_times.forget()
                 self._listed = False
                 # What answered a former leadership of ours may have been released since.
-                self._model.unknown.clear()
+                self._model.unregistered.clear()
                 continue
             began = self._clock.now()
             try:
@@ -217,10 +221,10 @@
         now = self._clock.now()
         blocked = [
             Blocked(offer.type, offer.zone, offer.spot, round(until - now, 1))
-            for offer, (until, _) in self.hiring.blocked.items()
+            for offer, (until, _) in self.scale_out.blocked.items()
             if until > now
         ]
-        trouble = self._cloud.trouble
+        trouble = self._cloud.last_error
         if trouble is None:
             return CloudView(blocked)
         return CloudView(blocked, round(now - trouble[0], 1), trouble[1])
@@ -232,23 +236,23 @@
         now = self._clock.now()
         if now - self._learnt_at > ADDRESSES_S:
             self._learnt_at = now
-            self._spawn(self._learn())
+            self._spawn(self._learn_addresses())
 
-    async def _learn(self) -> None:
+    async def _learn_addresses(self) -> None:
         try:
             listed = await self._cloud.machines()
-        except CloudTrouble as error:
+        except CloudError as error:
             log.debug("addresses: %s", error)
             return
         with self._model.lock:
             for entry in listed:
                 machine = self._model.machine(entry.id)
-                if machine is not None and not machine.addr:
-                    machine.addr = entry.addr
-                    self._model.pushes.add(machine.index)
+                if machine is not None and not machine.address:
+                    machine.address = entry.addr
+                    self._model.machines_to_push.add(machine.index)
         self._changed()
 
-    def _compare(self, listed: list[cloud_wire.Listed], asked: float) -> None:
+    def _compare(self, listed: list[cloud_wire.ListedMachine], asked: float) -> None:
         model = self._model
         lag = model.settings.params.cloud.list_lag_s
         release: list[str] = []
@@ -266,31 +270,33 @@
                         )
                     )
                     continue
-                machine.addr = machine.addr or entry.addr
+                machine.address = machine.address or entry.addr
                 if entry.state == "running" and not machine.listed_up:
                     machine.listed_up = True
-                    self.boots.listed_up(machine, entry.age_s, self._list_pause_s)
+                    self.boot_times.listed_up(machine, entry.age_s, self._list_pause_s)
                 if entry.state == "failed":
                     log.info("%s has failed", entry.id)
                     release.append(entry.id)
-                elif entry.state == "booting" and machine.session == 0:
+                elif entry.state == "booting" and machine.incarnation == 0:
                     # Its first minute is paid for in any case.
-                    late = entry.age_s > MINIMUM_S and self.boots.hopeless(machine, entry.age_s)
+                    late = entry.age_s > MINIMUM_S and self.boot_times.never_boots(
+                        machine, entry.age_s
+                    )
                     if late and not machine.attempts:
                         log.info("%s never came up", entry.id)
                         release.append(entry.id)
             for machine in model.machines.values():
                 if machine.name in present:
                     self._missing.pop(machine.name, None)
-                elif asked - machine.rented > 2 * lag + 5.0:
+                elif asked - machine.rented_at > 2 * lag + 5.0:
                     missed = self._missing.get(machine.name, 0) + 1
                     self._missing[machine.name] = missed
                     # A list may be older than the one before, by up to twice the lag.
                     if missed * self._list_pause_s > 2 * lag:
                         log.info("%s is not listed any more", machine.name)
                         release.append(machine.name)
-            self.hiring.adopt(adopt)
-        self.releases.release(release)
+            self.scale_out.adopt_unrecorded(adopt)
+        self.scale_in.release(release)
 
     # ---- a round ----
 
@@ -302,20 +308,20 @@
                 return
             now_s = round(self._clock.wall(), 1)
             unknown = [
-                wire.StoredMachine(r.machine, 0, r.type, r.zone, r.spot, r.addr, now_s)
-                for r in model.unknown.values()
+                wire.StoredMachine(r.machine, 0, r.type, r.zone, r.spot, r.address, now_s)
+                for r in model.unregistered.values()
             ]
-            model.unknown.clear()
-            self.hiring.adopt(unknown)
-            self.hiring.resume()
-            self.boots.look()
-            self.releases.release([m.name for m in model.machines.values() if m.dropped])
+            model.unregistered.clear()
+            self.scale_out.adopt_unrecorded(unknown)
+            self.scale_out.resume()
+            self.boot_times.observe()
+            self.scale_in.release([m.name for m in model.machines.values() if m.dropped])
             self._decide(now)
 
     def _decide(self, now: float) -> None:
         model = self._model
         tunables, planner = self._tunables, self._planner
-        snapshots = [self._snapshot(share, now) for share in model.shares]
+        snapshots = [self._snapshot(shard, now) for shard in model.shards]
         empty = set()
         idle = set()
         for machine in model.machines.values():
@@ -323,12 +329,12 @@
                 continue
             empty.add(machine.index)
             # The first minute is paid for in any case.
-            old = self._clock.wall() - machine.rented >= MINIMUM_S
+            old = self._clock.wall() - machine.rented_at >= MINIMUM_S
             if old and now - machine.idle_since >= tunables.idle_s:
                 idle.add(machine.index)
         nominal_s = max((entry.boot_s for entry in model.types.values()), default=30.0)
         boot_s = SPREAD * nominal_s
-        policy.forget(model.arrivals, now, tunables.arrivals_s)
+        policy.drop_old_arrivals(model.arrivals, now, tunables.arrivals_s)
         kept = policy.reserves(
             model.arrivals,
             self._waits,
@@ -338,7 +344,7 @@
             (self._guarantee_spread, tunables.reserve_spread),
             self.class_of,
         )
-        blocked = {offer for offer, (until, _) in self.hiring.blocked.items() if until > now}
+        blocked = {offer for offer, (until, _) in self.scale_out.blocked.items() if until > now}
         choices = options(model.types, blocked)
         if now - self._moved_at < tunables.move_s:
             empty.clear()
@@ -351,74 +357,76 @@
             idle,
             kept,
             choices,
-            MOST_AT_ONCE,
+            MAX_RENTALS_AT_ONCE,
             nominal_s,
             self._rules,
-            None if planner.classes is None else planner.classes.cautious(),
+            None if planner.classes is None else planner.classes.cautious_below(),
         )
         moves: dict[int, list[Machine]] = {}
-        for index, share in decisions.moves:
+        for index, shard in decisions.moves:
             self._moved_at = now
-            moves.setdefault(share, []).append(model.machines[index])
-        moves[DROP] = [
+            moves.setdefault(shard, []).append(model.machines[index])
+        moves[NO_SHARD] = [
             machine
             for machine in (model.machines[index] for index in decisions.surplus)
             if not machine.dropped
         ]
-        for share, machines in moves.items():
-            self._start_move(machines, share)
-        for index, share in decisions.vacate:
-            if now - self._consolidated_at.get(share, -1e9) >= tunables.consolidate_s:
-                self._consolidated_at[share] = now
-                self._start_move([model.machines[index]], DROP, vacate=True)
-        found = self._vacancies.look(snapshots, decisions, self._moving, now)
-        for share, machines in found.items():
-            self._start_move(machines, share, vacate=True)
+        for shard, machines in moves.items():
+            self._start_move(machines, shard)
+        for index, shard in decisions.evacuate:
+            if now - self._consolidated_at.get(shard, -1e9) >= tunables.consolidate_s:
+                self._consolidated_at[shard] = now
+                self._start_move([model.machines[index]], NO_SHARD, vacate=True)
+        found = self._evacuation.select(snapshots, decisions, self._moving, now)
+        for shard, machines in found.items():
+            self._start_move(machines, shard, vacate=True)
         asked: dict[Offer, list[int]] = {}
-        for offer, share in decisions.rents:
-            asked.setdefault(offer, []).append(share)
+        for offer, shard in decisions.rents:
+            asked.setdefault(offer, []).append(shard)
         # One request an offer for all shares, and none that would wait for its turn: the cloud
         # allows few calls, and what is asked later is asked for all that is lacking by then.
-        turns = int(self._cloud.budget.available()) - len(self.hiring.under_way)
-        for offer, shares in list(asked.items())[: max(0, turns)]:
-            self.hiring.ask(shares[:MOST_HOSTS], offer)
+        turns = int(self._cloud.budget.available()) - len(self.scale_out.in_progress)
+        for offer, shards in list(asked.items())[: max(0, turns)]:
+            self.scale_out.request_rental(shards[:MAX_MACHINES_LISTED], offer)
 
-    def _snapshot(self, share: Share, now: float) -> pts.Snapshot:
+    def _snapshot(self, shard: Shard, now: float) -> pts.Snapshot:
         """A share's machines as the records have them, those on their way included."""
         planner = self._planner
         nodes = []
         model = self._model
-        for machine in model.fleets[share.index].values():
+        for machine in model.shard_machines[shard.index].values():
             if not planner.usable(machine, now):
                 if machine.dropped or machine.lost or machine.draining:
                     continue
                 # Ours, and not usable now; or not to be waited for any more.
-                if share.owned and machine.session > 0:
+                if shard.owned and machine.incarnation > 0:
                     continue
                 # Before it has seen a list, a new leader rented others for machines that were up
                 # and had no work yet.
-                if self._listed and self.boots.overdue(machine):
+                if self._listed and self.boot_times.is_overdue(machine):
                     continue
             if machine.name not in self._moving:
                 nodes.append(planner.node(machine, now))
         # While the write of a move lagged, a machine was rented for the same need.
         for name, target in self._arriving.items():
             arriving = model.machine(name)
-            if target == share.index and arriving is not None:
+            if target == shard.index and arriving is not None:
                 nodes.append(planner.node(arriving, now))
-        hires = {name: hire for name, (hire, _) in model.hires.items()} | self.hiring.asking
+        hires = {
+            name: hire for name, (hire, _) in model.rentals.items()
+        } | self.scale_out.requesting
         for hire in hires.values():
             offer = Offer(hire.type, hire.zone, hire.spot)
-            for _ in range(hire.shares.count(share.index)):
-                node = virtual_node(model.types, offer, -1000 - len(nodes) - 10000 * share.index)
+            for _ in range(hire.shards.count(shard.index)):
+                node = virtual_node(model.types, offer, -1000 - len(nodes) - 10000 * shard.index)
                 if node is not None:
                     nodes.append(node)
-        snapshot = planner.snapshot(share, nodes, planner.requests(share))
+        snapshot = planner.snapshot(shard, nodes, planner.requests(shard))
         if planner.classes is not None:
-            planner.classes.bound(share, snapshot, leading=True)
+            planner.classes.reserve_capacity(shard, snapshot, leading=True)
         return snapshot
 
-    def _describe(self, kept: list[policy.Reserve]) -> str:
+    def _describe(self, kept: list[policy.CapacityReserve]) -> str:
         """The fleet in a line: machines, the empty ones, and the slots that are used."""
         parts = []
         for spot in (False, True):
@@ -430,39 +438,39 @@
                 count += 1
                 empty += not machine.attempts
                 slots += pts.slots_of(machine.total)
-                used += sum(pts.slots_of(a.job.need) for a in machine.attempts.values())
+                used += sum(pts.slots_of(a.job.demand) for a in machine.attempts.values())
             kind = "cheap" if spot else "ordinary"
             parts.append(f"{count} {kind} ({empty} empty, {used:.0f} of {slots:.0f} slots used)")
         waiting = sum(j.waiting() for jobs in self._model.open_jobs for j in jobs.values())
-        reserve = ", ".join(f"{r.tasks}x{pts.slots_of(r.need):.1f}" for r in kept)
+        reserve = ", ".join(f"{r.tasks}x{pts.slots_of(r.demand):.1f}" for r in kept)
         return f"{'; '.join(parts)}; {waiting} tasks wait; reserve {reserve or 'none'}"
 
     def _rules(self, index: int) -> pts.Request | None:
         job = self._model.jobs[index]
         return None if job is None else self._planner.request(job, 1)
 
-    def _start_move(self, machines: list[Machine], share: int, vacate: bool = False) -> None:
+    def _start_move(self, machines: list[Machine], shard: int, vacate: bool = False) -> None:
         by_origin: dict[int, list[Machine]] = {}
         for machine in machines:
             self._moving.add(machine.name)
-            by_origin.setdefault(machine.share, []).append(machine)
+            by_origin.setdefault(machine.shard, []).append(machine)
         for part in by_origin.values():
-            self._spawn(self._move(part, share, vacate))
+            self._spawn(self._move(part, shard, vacate))
 
-    async def _move(self, machines: list[Machine], share: int, vacate: bool) -> None:
+    async def _move(self, machines: list[Machine], shard: int, vacate: bool) -> None:
         names = {machine.name for machine in machines}
-        if not vacate and share != DROP:
-            self._arriving.update(dict.fromkeys(names, share))
+        if not vacate and shard != NO_SHARD:
+            self._arriving.update(dict.fromkeys(names, shard))
         try:
-            done = await self._mover(machines, share, vacate)
-            if not vacate and share != DROP:
-                await self._shown(machines, done, share)
+            done = await self._mover(machines, shard, vacate)
+            if not vacate and shard != NO_SHARD:
+                await self._wait_until_followed(machines, done, shard)
             self._arrived(names)
             if vacate:
                 # Their owner passes them on when their work has been stopped.
-                await asyncio.sleep(2 * VACATE_S)
-            elif share != DROP and done:
-                log.info("moved to share %d: %s", share, " ".join(sorted(done)))
+                await asyncio.sleep(2 * EVACUATION_INTERVAL_S)
+            elif shard != NO_SHARD and done:
+                log.info("moved to share %d: %s", shard, " ".join(sorted(done)))
             self._moving -= done
             names -= done
             if names and not vacate:
@@ -472,12 +480,14 @@
             self._moving -= names
             self._arrived(names)
 
-    async def _shown(self, machines: list[Machine], names: set[str], share: int) -> None:
+    async def _wait_until_followed(
+        self, machines: list[Machine], names: set[str], shard: int
+    ) -> None:
         """Return when the replica shows that machines have been moved: seen where they were before,
         they were moved once more, or others were rented for the same need."""
         until = self._clock.now() + SHOWN_S
         while self._clock.now() < until and any(
-            machine.name in names and machine.share != share for machine in machines
+            machine.name in names and machine.shard != shard for machine in machines
         ):
             await asyncio.sleep(SHOWN_STEP_S)
 
--- a/badgerseam/fleet/policy.py
+++ b/badgerseam/fleet/policy.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from badgerseam.fleet.demand import Level, Offer, Option, Wants, level_of
+from badgerseam.fleet.demand import Level, Offer, Option, UnplacedDemand, level_of
 from badgerseam.model.job import HIGH_RANK
 from badgerseam.model.resources import NOTHING, Resources
 from badgerseam.model.state import Arrival
@@ -15,33 +15,33 @@
 
 SETTLED_S = 60.0
 """How long replicas have run before they are moved: a start that is undone soon is none."""
-MOST_LOOKED_AT = 4
-Rules = Callable[[int], pts.Request | None]
-ENDLESS = Resources(math.inf, math.inf, math.inf)
+MAX_CANDIDATES = 4
+GangRulesOf = Callable[[int], pts.Request | None]
+UNLIMITED = Resources(math.inf, math.inf, math.inf)
 
 
 @dataclass(slots=True)
-class Reserve:
+class CapacityReserve:
     """Room to be kept for a class whose tasks should start sooner than a machine boots."""
 
     tasks: int
-    need: Resources
+    demand: Resources
     rank: int
     spot: bool
-    share: int
+    shard: int
     """Where the class arrives, or most of it."""
     pooled: bool
     """Room in other shares will do."""
 
 
 @dataclass(slots=True)
-class Decisions:
+class FleetDecisions:
     moves: list[tuple[int, int]] = field(default_factory=list)
     """Machines to be passed on, with the share that needs them."""
     rents: list[tuple[Offer, int]] = field(default_factory=list)
     surplus: list[int] = field(default_factory=list)
     """Empty machines that nothing needs."""
-    vacate: list[tuple[int, int]] = field(default_factory=list)
+    evacuate: list[tuple[int, int]] = field(default_factory=list)
     """Machines whose replicas others have room for, with their share."""
     waiting: list[dict[int, int]] = field(default_factory=list)
     """Of each share, the tasks a job that found no room on its machines."""
@@ -51,7 +51,7 @@
 """Windows after which an arrival does not count any more."""
 
 
-def forget(arrivals: deque[Arrival], now: float, window_s: float) -> None:
+def drop_old_arrivals(arrivals: deque[Arrival], now: float, window_s: float) -> None:
     """Drop the arrivals that are too old to count. They are nearly in order; one that came out of
     it goes when it is the oldest."""
     while arrivals and now - arrivals[0].at > ARRIVAL_WINDOWS * window_s:
@@ -66,7 +66,7 @@
     window_s: float,
     spreads: tuple[float, float],
     class_of: Callable[[Arrival], int] | None = None,
-) -> list[Reserve]:
+) -> list[CapacityReserve]:
     """How much room the arrivals of the last while call for, by class.
 
     `waits`: how soon work of a class should start; None: any work within its team's guarantee.
@@ -90,22 +90,24 @@
     for job_class, recent in sorted(by_class.items(), key=turn):
         if min(waits.get(job_class, math.inf), waits.get(None, math.inf)) >= boot_s:
             continue
-        by_share: dict[int, list[Arrival]] = {}
+        by_shard: dict[int, list[Arrival]] = {}
         for arrival in recent:
-            by_share.setdefault(arrival.share, []).append(arrival)
+            by_shard.setdefault(arrival.shard, []).append(arrival)
         if recent[-1].spot:
             # Cheap machines stand empty and can be moved: one reserve serves all shares.
-            most = max(by_share, key=lambda share: sum(a.tasks for a in by_share[share]))
+            most = max(by_shard, key=lambda shard: sum(a.tasks for a in by_shard[shard]))
             groups = [(most, True, recent)]
         else:
-            groups = [(share, False, came) for share, came in by_share.items()]
-        for share, pooled, came in groups:
+            groups = [(shard, False, came) for shard, came in by_shard.items()]
+        for shard, pooled, came in groups:
             squares = sum(a.tasks**2 * math.exp((a.at - now) / window_s) for a in came)
             deviation = math.sqrt(squares * boot_s / window_s)
             last = came[-1]
             spread = spreads[waits.get(job_class, math.inf) < boot_s]
             found.append(
-                Reserve(round(spread * deviation), last.need, last.rank, last.spot, share, pooled)
+                CapacityReserve(
+                    round(spread * deviation), last.need, last.rank, last.spot, shard, pooled
+                )
             )
     return found
 
@@ -114,13 +116,13 @@
     snapshots: list[pts.Snapshot],
     empty: set[int],
     idle: set[int],
-    kept: list[Reserve],
+    kept: list[CapacityReserve],
     choices: list[Option],
     most: int,
     horizon_s: float = 0.0,
-    rules: Rules | None = None,
+    rules: GangRulesOf | None = None,
     cautious: int | None = None,
-) -> Decisions:
+) -> FleetDecisions:
     """Moves first, then rents for waiting work, then the reserve; what is left over is surplus.
 
     `empty`: machines with nothing on them; `idle`: those that have been so for long enough;
@@ -128,17 +130,17 @@
     one; `rules`: the request of a job, without which no replica is moved; `cautious`: for priority
     classes below this one nothing is moved now, what claims a guarantee aside.
     """
-    result = Decisions()
+    result = FleetDecisions()
     plans = [pts.plan(snapshot, evict=False) for snapshot in snapshots]
     result.waiting = [plan.waiting for plan in plans]
     free = {node.index: node.free for plan in plans for node in plan.nodes}
-    spare = _spare(snapshots, plans, empty)
+    spare = _spare_machines(snapshots, plans, empty)
     levels = _levels(snapshots, plans, cautious)
     order = sorted(
         range(len(snapshots)), key=lambda index: _turn(snapshots[index], plans[index], levels)
     )
     wanting = {
-        index: Wants(snapshots[index].requests, plans[index].waiting, plans[index].teams)
+        index: UnplacedDemand(snapshots[index].requests, plans[index].waiting, plans[index].teams)
         for index in order
         if plans[index].waiting
     }
@@ -148,7 +150,7 @@
             for node, origin in list(spare.values()):
                 if not wants or len(result.moves) >= most:
                     break
-                if origin != index and wants.wanted(node, level) and wants.fill(node, node.free):
+                if origin != index and wants.is_useful(node, level) and wants.fill(node, node.free):
                     del spare[node.index]
                     del free[node.index]
                     result.moves.append((node.index, index))
@@ -167,8 +169,8 @@
     if rules is not None and not any(not offer.spot for offer, _ in result.rents):
         for index, plan in enumerate(plans):
             if not plan.waiting:
-                found = _vacant(plan.nodes, free, snapshots[index].now, rules)
-                result.vacate += [(node.index, index) for node in found]
+                found = _evacuable(plan.nodes, free, snapshots[index].now, rules)
+                result.evacuate += [(node.index, index) for node in found]
     return result
 
 
@@ -176,7 +178,7 @@
     snapshots: list[pts.Snapshot], plans: list[pts.Plan], cautious: int | None
 ) -> list[Level] | None:
     """The levels of what waits, the first one first; None where no classes are kept."""
-    if not any(request.klass for snapshot in snapshots for request in snapshot.requests):
+    if not any(request.priority_class for snapshot in snapshots for request in snapshot.requests):
         return None
     found = set()
     for snapshot, plan in zip(snapshots, plans, strict=True):
@@ -184,8 +186,8 @@
             if request.job not in plan.waiting:
                 continue
             team = plan.teams[request.team]
-            claims = team.used.plus(request.need).fits(team.guarantee)
-            if cautious is None or request.klass <= cautious or claims:
+            claims = team.used.plus(request.demand).fits_in(team.guarantee)
+            if cautious is None or request.priority_class <= cautious or claims:
                 found.add(level_of(request))
     return sorted(found)
 
@@ -198,9 +200,9 @@
     return min(waiting, default=(1, 0))
 
 
-def _vacant(
-    nodes: list[pts.Node], free: dict[int, Resources], now: float, rules: Rules
-) -> list[pts.Node]:
+def _evacuable(
+    nodes: list[pts.MachineSnapshot], free: dict[int, Resources], now: float, rules: GangRulesOf
+) -> list[pts.MachineSnapshot]:
     """The machine with the least on it, if that is replicas only and others have room for them.
 
     As replicas leave, the rest lie scattered over machines that are paid for whole. `free` is what
@@ -218,7 +220,7 @@
         ),
         key=lambda node: node.slots - node.idle_slots,
     )
-    for node in least[:MOST_LOOKED_AT]:
+    for node in least[:MAX_CANDIDATES]:
         used = node.slots - node.idle_slots
         targets = [
             other
@@ -232,7 +234,10 @@
 
 
 def _move_all(
-    node: pts.Node, targets: list[pts.Node], free: dict[int, Resources], rules: Rules
+    node: pts.MachineSnapshot,
+    targets: list[pts.MachineSnapshot],
+    free: dict[int, Resources],
+    rules: GangRulesOf,
 ) -> bool:
     zones: dict[int, dict[str, int]] = {}
     for task in node.running:
@@ -240,15 +245,15 @@
         request = rules(job)
         if request is None:
             return False
-        where = zones.setdefault(job, dict(request.zones))
+        where = zones.setdefault(job, dict(request.zone_counts))
         where[node.zone] = where.get(node.zone, 1) - 1
         for other in targets:
             if (
-                task.need.fits(free[other.index])
+                task.demand.fits_in(free[other.index])
                 and request.image in other.images
-                and pts.allowed(request, other, where)
+                and pts.job_rules_allow(request, other, where)
             ):
-                free[other.index] = free[other.index].minus(task.need)
+                free[other.index] = free[other.index].minus(task.demand)
                 where[other.zone] = where.get(other.zone, 0) + 1
                 break
         else:
@@ -256,18 +261,18 @@
     return True
 
 
-def _freed_soon(node: pts.Node, now: float, horizon_s: float) -> Resources | None:
+def _freed_soon(node: pts.MachineSnapshot, now: float, horizon_s: float) -> Resources | None:
     """A machine's room after the horizon, if some of its tasks should have ended by then."""
     room = node.free
     for task in node.running:
         if now < task.ends_at <= now + horizon_s:
-            room = room.plus(task.need)
+            room = room.plus(task.demand)
     return None if room is node.free else room
 
 
-def _spare(
+def _spare_machines(
     snapshots: list[pts.Snapshot], plans: list[pts.Plan], empty: set[int]
-) -> dict[int, tuple[pts.Node, int]]:
+) -> dict[int, tuple[pts.MachineSnapshot, int]]:
     """Empty machines that their own share's waiting work does not take, with that share."""
     return {
         before.index: (before, index)
@@ -278,20 +283,20 @@
 
 
 def _reserve(
-    result: Decisions,
+    result: FleetDecisions,
     plans: list[pts.Plan],
     free: dict[int, Resources],
-    kept: list[Reserve],
+    kept: list[CapacityReserve],
     choices: list[Option],
     most: int,
 ) -> None:
     """Set room aside for the reserve, in `free`, and rent what it lacks."""
     for position, reserve in enumerate(kept):
-        where = range(len(plans)) if reserve.pooled else [reserve.share]
+        where = range(len(plans)) if reserve.pooled else [reserve.shard]
         request = pts.Request(
             -1 - position,
             0,
-            reserve.need,
+            reserve.demand,
             -1,
             False,
             0,
@@ -306,7 +311,7 @@
             float(position),
         )
         missing = reserve.tasks
-        rooms: list[tuple[float, pts.Node]] = []
+        rooms: list[tuple[float, pts.MachineSnapshot]] = []
         evictable = 0.0
         for index, plan in enumerate(plans):
             for node in plan.nodes:
@@ -314,25 +319,25 @@
                 if room is None or (node.spot and not reserve.spot):
                     continue
                 if index in where:
-                    evictable += node.low
+                    evictable += node.low_slots
                 # Empty machines of other shares can be moved when they are needed.
-                if (index in where or room == node.total) and reserve.need.fits(room):
+                if (index in where or room == node.total) and reserve.demand.fits_in(room):
                     rooms.append((node.idle_slots / (node.slots or 1.0), node))
         if reserve.rank >= HIGH_RANK:
-            missing -= int(evictable / (pts.slots_of(reserve.need) or 1.0))
+            missing -= int(evictable / (pts.slots_of(reserve.demand) or 1.0))
         # Of the empty ones, those that hold the most images start work the soonest: the others are
         # returned.
         rooms.sort(key=lambda item: (item[0], -len(item[1].images)))
         for _, node in rooms:
             if missing <= 0:
                 break
-            count = min(missing, reserve.need.times_in(free[node.index]))
-            free[node.index] = free[node.index].minus(reserve.need.times(count))
+            count = min(missing, reserve.demand.count_in(free[node.index]))
+            free[node.index] = free[node.index].minus(reserve.demand.times(count))
             missing -= count
         if missing > 0:
             # Dear machines are not kept idle for work that may run on cheap ones.
             offers = [option for option in choices if option.offer.spot == reserve.spot]
-            lacking = Wants(
-                [request], {request.job: missing}, {0: pts.TeamUse(NOTHING, ENDLESS, ENDLESS)}
+            lacking = UnplacedDemand(
+                [request], {request.job: missing}, {0: pts.TeamUse(NOTHING, UNLIMITED, UNLIMITED)}
             )
-            result.rents += [(offer, reserve.share) for offer in lacking.rent(offers, most)]
+            result.rents += [(offer, reserve.shard) for offer in lacking.rent(offers, most)]
--- a/badgerseam/http/budget.py
+++ b/badgerseam/http/budget.py
@@ -5,7 +5,7 @@
 from badgerseam.clock import Clock
 
 
-class Budget:
+class RateBudget:
     """A token bucket; urgent use may draw on a reserve that other use leaves alone."""
 
     def __init__(
--- a/badgerseam/http/client.py
+++ b/badgerseam/http/client.py
@@ -21,20 +21,22 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpclient import TCPClient
 
+from badgerseam.errors import BadgerseamError
 
-class NoResponse(Exception):
+
+class NoResponseError(BadgerseamError):
     """Nothing is known: the request may have been executed, or may be executed later."""
 
 
-class NotSent(NoResponse):
+class NotSentError(NoResponseError):
     """The connection could not be made, so the request was never sent."""
 
 
-class TurnedAway(NotSent):
+class ConnectionRefusedByPeerError(NotSentError):
     """The connection was refused: something is there, and nobody takes it."""
 
 
-class Reset(NoResponse):
+class ConnectionResetByPeerError(NoResponseError):
     """The other end closed the connection before it answered."""
 
 
@@ -67,7 +69,7 @@
 _PARAMS = HTTP1ConnectionParameters(max_body_size=64 * 1024 * 1024, max_header_size=16384)
 
 
-class Client:
+class HttpClient:
     """Requests to any number of addresses over kept connections.
 
     A controller left alone has the reports of all workers and the users on its sockets: at most
@@ -108,10 +110,16 @@
             if stream is None:
                 reason = error.real_error if isinstance(error, StreamClosedError) else error
                 refused = isinstance(reason, ConnectionRefusedError)
-                raise (TurnedAway if refused else NotSent)(f"{address}: {error!r}") from error
+                raise (ConnectionRefusedByPeerError if refused else NotSentError)(
+                    f"{address}: {error!r}"
+                ) from error
             stream.close()
             self._forget(address)
-            kind = Reset if isinstance(error, StreamClosedError) else NoResponse
+            kind = (
+                ConnectionResetByPeerError
+                if isinstance(error, StreamClosedError)
+                else NoResponseError
+            )
             raise kind(f"{address}{path}: {error!r}") from error
         except BaseException:
             if stream is not None:
@@ -120,28 +128,28 @@
         if collector.status == 0:
             stream.close()
             self._forget(address)
-            raise Reset(f"{address}{path}: closed before a response")
+            raise ConnectionResetByPeerError(f"{address}{path}: closed before a response")
         if not stream.closed():
-            self._put(address, stream)
+            self._return_stream(address, stream)
         return Response(collector.status, b"".join(collector.chunks), collector.retry_after)
 
-    def _put(self, address: str, stream: IOStream) -> None:
+    def _return_stream(self, address: str, stream: IOStream) -> None:
         self._idle[stream] = address
         self._by_address.setdefault(address, []).append(stream)
         most = self._keep()
         while len(self._idle) > most:
             oldest = next(iter(self._idle))
-            self._take(oldest)
+            self._take_stream(oldest)
             oldest.close()
 
     def _forget(self, address: str) -> None:
         """Connections kept to where one has failed are as old, and as dead after a cut: one request
         after the other would have to find that out, each for the whole of its deadline."""
         for stream in list(self._by_address.get(address, ())):
-            self._take(stream)
+            self._take_stream(stream)
             stream.close()
 
-    def _take(self, stream: IOStream) -> None:
+    def _take_stream(self, stream: IOStream) -> None:
         address = self._idle.pop(stream)
         pool = self._by_address[address]
         pool.remove(stream)
@@ -151,7 +159,7 @@
     async def _stream(self, address: str, deadline_s: float) -> IOStream:
         while pool := self._by_address.get(address):
             kept = pool[-1]
-            self._take(kept)
+            self._take_stream(kept)
             if not kept.closed():
                 return kept
         host, _, port = address.rpartition(":")
--- a/badgerseam/http/server.py
+++ b/badgerseam/http/server.py
@@ -17,9 +17,9 @@
 
 log = logging.getLogger("badgerseam.http")
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 """The protocols' limit. Larger bodies are read up to SWALLOW so that they get a clean answer."""
-SWALLOW = 1024 * 1024
+MAX_DISCARDED_BODY = 1024 * 1024
 IDLE_S = 20.0
 """Workers report and users poll every few seconds. Peers that were cut off, or ended, leave their
 connections open without a word, and sockets are few."""
@@ -57,7 +57,7 @@
         super().on_close(server_conn)
 
 
-class Server:
+class HttpServer:
     """Serves one address with one handler of (method, path with its query, body)."""
 
     def __init__(self, handler: Handler) -> None:
@@ -65,8 +65,8 @@
         self._tasks = BackgroundTasks()
         self._server = _Counting(
             self._request,
-            max_buffer_size=2 * SWALLOW,
-            max_body_size=SWALLOW,
+            max_buffer_size=2 * MAX_DISCARDED_BODY,
+            max_body_size=MAX_DISCARDED_BODY,
             max_header_size=16384,
             body_timeout=10.0,
             idle_connection_timeout=IDLE_S,
@@ -82,7 +82,7 @@
         return self._server.open
 
     @property
-    def busy(self) -> int:
+    def open_requests(self) -> int:
         """How many requests are waiting for their answer."""
         return len(self._tasks)
 
@@ -90,7 +90,7 @@
         self._server.stop()
 
     def _request(self, request: HTTPServerRequest) -> None:
-        if len(request.body) > MAX_BODY:
+        if len(request.body) > MAX_BODY_BYTES:
             self._send(request, error_reply(400, "body over 64 KiB"))
             return
         try:
--- a/badgerseam/lab/adversarial_clients.py
+++ b/badgerseam/lab/adversarial_clients.py
@@ -15,8 +15,8 @@
 from badgerseam.background import BackgroundTasks
 from badgerseam.clock import Clock
 from badgerseam.lab.load import PATIENCE_S
-from badgerseam.lab.load_balancer import FINAL, Front, Truth
-from badgerseam.lab.machines import Machine
+from badgerseam.lab.load_balancer import FINAL_STATUSES, LoadBalancer, TrueBehaviour
+from badgerseam.lab.machines import MachineProcess
 from badgerseam.wire.users import Submission
 
 AT_ONCE_S = 0.2
@@ -31,11 +31,11 @@
 ODD: tuple[Odd, ...] = ("again", "cancel-done", "unfit", "lacking")
 
 
-class Meddlers:
+class AdversarialClients:
     """Asks for what deeds of a lab want asked."""
 
     def __init__(
-        self, front: Front, clock: Clock, random: Random, machines: dict[str, Machine]
+        self, front: LoadBalancer, clock: Clock, random: Random, machines: dict[str, MachineProcess]
     ) -> None:
         self._front = front
         self._clock = clock
@@ -59,7 +59,7 @@
         until = self._clock.now() + PATIENCE_S
         self.asked += 1
         while self._clock.now() < until:
-            if (await self._front.ask("POST", path, body)).status in FINAL:
+            if (await self._front.ask("POST", path, body)).status in FINAL_STATUSES:
                 return
             await asyncio.sleep(self._random.uniform(1.0, 1.2))
 
@@ -136,7 +136,7 @@
     def _senseless(self, model: Submission, kind: Odd) -> bytes:
         name = f"job-{self._number}"
         # Nobody can serve it.
-        self._front.truths[name] = Truth(broken=True)
+        self._front.truths[name] = TrueBehaviour(broken=True)
         spec = msgspec.structs.replace(model, id=name, terms=None)
         if kind == "unfit":
             return msgspec.json.encode(msgspec.structs.replace(spec, cpus=HUGE))
--- a/badgerseam/lab/checkouts.py
+++ b/badgerseam/lab/checkouts.py
@@ -13,12 +13,14 @@
 import msgspec
 from msgspec import Struct
 
+from badgerseam.errors import BadgerseamError
+
 ROOT = Path(__file__).resolve().parents[2]
-OWN = ""
+OWN_SOURCES = ""
 """The name of the sources that the lab itself runs from."""
 
 
-class TreeError(Exception):
+class CheckoutError(BadgerseamError):
     """There are no such sources; the message says why and what to do."""
 
 
@@ -29,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tree:
+class Checkout:
     """Sources, and the arguments that a controller of theirs is started with before its settings.
 
     Each tree brings its own, as a deployment does: an older program ends at a section of the
@@ -40,16 +42,16 @@
     command: tuple[str, ...]
 
 
-def own_tree(options: Path | None) -> Tree:
+def own_checkout(options: Path | None) -> Checkout:
     """The sources that this process runs from."""
     given = () if options is None else ("--options", str(options))
-    return Tree(
+    return Checkout(
         ROOT,
         (sys.executable, "-m", "badgerseam", "serve", *given, "--config"),
     )
 
 
-def lay(name: str, where: str, directory: Path) -> Tree:
+def make_checkout(name: str, where: str, directory: Path) -> Checkout:
     """Make the sources called `name` ready: `where` is a folder, or a revision of the repository
     that this process runs from, which is laid below `directory`."""
     folder = Path(where)
@@ -60,11 +62,11 @@
             (folder / "deploy" / "service.toml").read_bytes(), type=_Service
         )
     except (OSError, msgspec.DecodeError) as error:
-        raise TreeError(f"sources.{name}: deploy/service.toml: {error}") from error
+        raise CheckoutError(f"sources.{name}: deploy/service.toml: {error}") from error
     program, *rest = shlex.split(service.run)
     # The interpreter that has the libraries, whatever the deployment calls it.
     command = (sys.executable, *rest) if program.startswith("python") else (program, *rest)
-    return Tree(folder.resolve(), command)
+    return Checkout(folder.resolve(), command)
 
 
 def _extract(name: str, revision: str, folder: Path) -> Path:
@@ -75,9 +77,11 @@
             capture_output=True,
         ).stdout
     except FileNotFoundError as error:
-        raise TreeError(f"sources.{name}: git is not installed: name a folder instead") from error
+        raise CheckoutError(
+            f"sources.{name}: git is not installed: name a folder instead"
+        ) from error
     except subprocess.CalledProcessError as error:
-        raise TreeError(
+        raise CheckoutError(
             f"sources.{name}: {revision!r} is neither a folder with the program nor a revision: "
             + error.stderr.decode(errors="replace").strip().partition("\n")[0]
         ) from error
--- a/badgerseam/lab/demo.py
+++ b/badgerseam/lab/demo.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 
 from badgerseam.cli.render import why_text
-from badgerseam.http.client import Client, NoResponse, Response
+from badgerseam.http.client import HttpClient, NoResponseError, Response
 from badgerseam.lab.fault import Fault
-from badgerseam.lab.fault_injector import Breaker
+from badgerseam.lab.fault_injector import FaultInjector
 from badgerseam.lab.lab import Lab, LabError
 from badgerseam.wire import explain
 
@@ -19,7 +19,7 @@
 
 async def demo(lab: Lab, say: Callable[[str], None]) -> None:
     """Play it on a lab that has been started; LabError if anything is not as it should be."""
-    http = Client()
+    http = HttpClient()
 
     async def ask(method: str, path: str, body: bytes | None = None) -> Response:
         """Repeated until it is answered, as users do."""
@@ -31,7 +31,7 @@
                 )
                 if response.status in (200, 201):
                     return response
-            except NoResponse:
+            except NoResponseError:
                 pass
             await asyncio.sleep(0.3)
         raise LabError(f"{method} {path}: no answer within {PATIENCE_S:.0f} s")
@@ -51,7 +51,7 @@
         response = await ask("GET", f"/submissions/{JOB}/why")
         return explain.why_decoder.decode(response.body)
 
-    breaker = Breaker(lab)
+    breaker = FaultInjector(lab)
     await lab.ready()
     say("The site is up: 3 controllers, no machine yet, and the cloud has none to rent.")
     breaker.apply(Fault("no-capacity"))
@@ -90,7 +90,7 @@
     breaker.apply(Fault("kill", "all"))
     await until_phase("done")
     say(f"It is done: {json.dumps(await phase())}")
-    breaches = lab.breaches()
+    breaches = lab.violations()
     if breaches:
         raise LabError("; ".join(map(str, breaches)))
     say("No rule was broken.")
--- a/badgerseam/lab/fault_injector.py
+++ b/badgerseam/lab/fault_injector.py
@@ -6,25 +6,25 @@
 from collections.abc import Callable
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.lab.checkouts import Tree
-from badgerseam.lab.controllers import Controller
-from badgerseam.lab.fault import LINKED, NO_EXCUSE, Fault
+from badgerseam.lab.checkouts import Checkout
+from badgerseam.lab.controllers import ControllerProcess
+from badgerseam.lab.fault import LINKED, NOT_A_FAILURE, Fault
 from badgerseam.lab.lab import Lab, LabError
-from badgerseam.lab.lab_rollout import LabSite
+from badgerseam.lab.lab_rollout import LabRolloutTarget
 from badgerseam.lab.links import Trouble
 from badgerseam.lab.machines import ANSWERS, CONTROLLERS, zone_end
-from badgerseam.rollout.rolling_update import Choreography, Stopped
+from badgerseam.rollout.rolling_update import RollingUpdate, RolloutStoppedError
 
 LOOK_S = 0.05
 AT_ONCE = "at-once"
 """Where `late-writes` has its transactions carried out without a delay."""
 NEXT_LEADER = "next-leader"
 """To whom copies of reports go that are kept."""
-MOST_HUNG = 8
+MAX_HUNG = 8
 """Machines of cancelled jobs that hang."""
 
 
-class Breaker:
+class FaultInjector:
     """Breaks and mends one lab."""
 
     def __init__(self, lab: Lab) -> None:
@@ -70,7 +70,7 @@
 
     def _until(self, fault: Fault, name: str, mend: Callable[[], None]) -> str:
         self._mending[name] = mend
-        if fault.do not in NO_EXCUSE:
+        if fault.do not in NOT_A_FAILURE:
             self._begin(name)
         if fault.for_s:
             self._later(fault.for_s, lambda: self._mend(name))
@@ -134,7 +134,7 @@
                 self._until(fault, f"{node} hung", lambda c=controller: c.go_on())  # type: ignore[misc]
                 continue
 
-            def deed(c: Controller = controller) -> None:
+            def deed(c: ControllerProcess = controller) -> None:
                 starts = c.starts
                 if c.kill(fault.back_s) if tree is None else c.replace(tree, fault.back_s):
                     over = ("given up", "stopped")
@@ -150,7 +150,7 @@
         what = f" by {fault.to or 'these sources'}" if fault.do == "replace" else ""
         return f"{fault.do} {', '.join(names)}{within}{what}"
 
-    def _tree(self, fault: Fault) -> Tree:
+    def _tree(self, fault: Fault) -> Checkout:
         found = self._lab.trees.get(fault.to)
         if found is None:
             known = ", ".join(filter(None, self._lab.trees)) or "none"
@@ -160,16 +160,16 @@
     def _rollout(self, fault: Fault) -> str:
         """Replace all controllers one after the other as operators would."""
         lab = self._lab
-        site = LabSite(lab, self._tree(fault))
+        site = LabRolloutTarget(lab, self._tree(fault))
 
         def told(text: str) -> None:
             lab.history.add("fault", about="rollout", text=text)
 
         async def play() -> None:
             try:
-                await Choreography(site, lab.clock, told).run(lab.nodes)
+                await RollingUpdate(site, lab.clock, told).run(lab.nodes)
                 lab.rollouts.append("")
-            except Stopped as stopped:
+            except RolloutStoppedError as stopped:
                 lab.rollouts.append(str(stopped))
                 told(f"stopped: {stopped}")
 
@@ -288,7 +288,7 @@
         hung: list[str] = []
         if fault.for_s:
             names = sorted({name for on in jobs.values() for name in on})
-            hung = sorted(lab.random.sample(names, min(MOST_HUNG, len(names))))
+            hung = sorted(lab.random.sample(names, min(MAX_HUNG, len(names))))
             for name in hung:
                 machine = lab.machines[name]
                 machine.hang()
@@ -398,11 +398,11 @@
             core = machine.core
             if fault.do == "take":
                 self._begin(name)
-                lab.cloud_core.take(name)
+                lab.cloud_core.reclaim(name)
                 self._over(name)
             elif fault.do == "die":
                 self._begin(name)
-                lab.cloud_core.die(name)
+                lab.cloud_core.fail(name)
                 self._over(name)
             elif fault.do == "notice":
                 left = (fault.for_s or 10.0) * lab.random.uniform(0.5, 1.5)
--- a/badgerseam/lab/history.py
+++ b/badgerseam/lab/history.py
@@ -66,7 +66,7 @@
     text: str = ""
 
     @property
-    def heard(self) -> bool:
+    def reached_user(self) -> bool:
         """Whether this answer came while its user still waited for it.
 
         The load balancer notes answers that come after that as well; counted as answers, they
--- a/badgerseam/lab/lab.py
+++ b/badgerseam/lab/lab.py
@@ -15,24 +15,31 @@
 from typing import IO, TypeVar, cast
 
 from badgerseam.clock import Clock
+from badgerseam.errors import BadgerseamError
 from badgerseam.http.network import SOCKETS, Network
-from badgerseam.http.server import Server
-from badgerseam.lab.adversarial_clients import Meddlers
-from badgerseam.lab.checker import Breach, Verdict, judge
-from badgerseam.lab.checkouts import OWN, Tree, TreeError, lay, own_tree
-from badgerseam.lab.cloud import CloudCore, Rented
-from badgerseam.lab.controllers import Controller
+from badgerseam.http.server import HttpServer
+from badgerseam.lab.adversarial_clients import AdversarialClients
+from badgerseam.lab.checker import RuleViolation, Verdict, judge
+from badgerseam.lab.checkouts import (
+    OWN_SOURCES,
+    Checkout,
+    CheckoutError,
+    make_checkout,
+    own_checkout,
+)
+from badgerseam.lab.cloud import CloudCore, RentedMachine
+from badgerseam.lab.controllers import ControllerProcess
 from badgerseam.lab.history import History, Kind
 from badgerseam.lab.late_commands import LateCommands
-from badgerseam.lab.late_heartbeats import Copies
+from badgerseam.lab.late_heartbeats import LateHeartbeats
 from badgerseam.lab.links import Links, Relay
-from badgerseam.lab.load import Load
-from badgerseam.lab.load_balancer import Front
-from badgerseam.lab.machines import Machine
-from badgerseam.lab.ownership_gaps import Vacancy
-from badgerseam.lab.read_after_write import CloseLooks
+from badgerseam.lab.load import UserLoad
+from badgerseam.lab.load_balancer import LoadBalancer
+from badgerseam.lab.machines import MachineProcess
+from badgerseam.lab.ownership_gaps import OwnershipGaps
+from badgerseam.lab.read_after_write import ReadAfterWriteClients
 from badgerseam.lab.services import CloudService, StateService, serve_for
-from badgerseam.lab.site import Ports, Site, controller_settings, write_settings
+from badgerseam.lab.site import Ports, SiteSpec, controller_settings, write_settings
 from badgerseam.lab.state import StateCore
 from badgerseam.lab.worker import Identity, Results, WorkerCore
 from badgerseam.model.keys import LEADER_KEY
@@ -47,7 +54,7 @@
 READY_S = 20.0
 
 
-class LabError(Exception):
+class LabError(BadgerseamError):
     """The lab cannot be started or used; the message says why and what to do."""
 
 
@@ -57,14 +64,14 @@
 
     def __init__(
         self,
-        site: Site,
+        site: SiteSpec,
         directory: Path,
         clock: Clock,
         random: Random,
         port: int = 0,
         options: Path | None = None,
         sources: dict[str, str] | None = None,
-        first: str = OWN,
+        first: str = OWN_SOURCES,
         network: Network = SOCKETS,
     ) -> None:
         """`sources`: other trees that controllers can run from, by name; `first`: the one that
@@ -76,7 +83,7 @@
         self.random = random
         self._sources = sources or {}
         self._first = first
-        self.trees: dict[str, Tree] = {OWN: own_tree(options)}
+        self.trees: dict[str, Checkout] = {OWN_SOURCES: own_checkout(options)}
         self._port = port
         self.links = Links(random)
         self.late_commands = LateCommands(random)
@@ -88,22 +95,22 @@
             random,
             site.capacity,
             site.never_up,
-            self._gone,
+            self._on_machine_gone,
         )
         self.state = StateService(self.state_core, clock)
         self.cloud = CloudService(self.cloud_core)
-        self.cloud.rented = self._rented
+        self.cloud.rented = self._on_machines_rented
         self.results = Results()
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, MachineProcess] = {}
         self.nodes = [f"node-{number}" for number in range(site.controllers)]
-        self.controllers: dict[str, Controller] = {}
+        self.controllers: dict[str, ControllerProcess] = {}
         self.addresses: dict[str, str] = {}
         self.notes: list[str] = []
         self.rollouts: list[str] = []
         """How each rollout ended: empty, or why it stopped."""
-        self.vacancy = Vacancy(self.state_core, clock, site.shares, self._process)
-        self.load: Load | None = None
-        self._servers: list[Server] = []
+        self.vacancy = OwnershipGaps(self.state_core, clock, site.shards, self._process)
+        self.load: UserLoad | None = None
+        self._servers: list[HttpServer] = []
         self._relays: list[Relay] = []
         self._drive: asyncio.Task[None] | None = None
         self._lock: IO[str] | None = None
@@ -111,10 +118,10 @@
         """The directory is this lab's own."""
         self._numbers = itertools.count(1)
         self.history: History
-        self.front: Front
-        self.copies: Copies
-        self.meddlers: Meddlers
-        self.close_looks: CloseLooks
+        self.front: LoadBalancer
+        self.copies: LateHeartbeats
+        self.meddlers: AdversarialClients
+        self.close_looks: ReadAfterWriteClients
         self.front_port = 0
 
     # ---- beginning and end ----
@@ -149,8 +156,8 @@
     async def _start_parts(self) -> None:
         try:
             for name, where in self._sources.items():
-                self.trees[name] = lay(name, where, self.directory)
-        except TreeError as error:
+                self.trees[name] = make_checkout(name, where, self.directory)
+        except CheckoutError as error:
             raise LabError(str(error)) from error
         if self._first not in self.trees:
             raise LabError(f"first: {self._first!r}: one of {', '.join(self._sources)}")
@@ -162,8 +169,8 @@
     async def _start_site(self, ports: dict[str, Ports]) -> None:
         network = self._network
         self.addresses = {node: f"127.0.0.1:{ports[node].api}" for node in self.nodes}
-        self.front = Front(self.addresses, self.history, network)
-        self.copies = Copies(
+        self.front = LoadBalancer(self.addresses, self.history, network)
+        self.copies = LateHeartbeats(
             self.links,
             self.random,
             self.addresses,
@@ -171,9 +178,11 @@
             network,
             lambda: self.state_core.version(LEADER_KEY),
         )
-        self.meddlers = Meddlers(self.front, self.clock, self.random, self.machines)
-        self.close_looks = CloseLooks(self.front, self.random, self.nodes, self.meddlers.cancel)
-        self.front.on_told = self.close_looks.told
+        self.meddlers = AdversarialClients(self.front, self.clock, self.random, self.machines)
+        self.close_looks = ReadAfterWriteClients(
+            self.front, self.random, self.nodes, self.meddlers.cancel
+        )
+        self.front.on_told = self.close_looks.on_answer
         for node in self.nodes:
             own = ports[node]
             for target, handle, port in (
@@ -201,10 +210,10 @@
         await relay.listen(port)
         self._relays.append(relay)
 
-    def _controller(self, settings: Settings) -> Controller:
+    def _controller(self, settings: Settings) -> ControllerProcess:
         path = self.directory / f"{settings.node}.toml"
         write_settings(settings, path)
-        return Controller(
+        return ControllerProcess(
             settings.node,
             path,
             self.trees[self._first],
@@ -309,12 +318,12 @@
             now = self.clock.now()
             for rented in list(self.cloud_core.machines.values()):
                 if not rented.started and rented.up <= now and rented.died is None:
-                    self._up(rented)
+                    self._on_machine_up(rented)
                 if rented.notice_at is not None and rented.notice_at <= now:
-                    self.cloud_core.take(rented.name)
+                    self.cloud_core.reclaim(rented.name)
             self.state_core.expire()
 
-    def _rented(self, names: list[str]) -> None:
+    def _on_machines_rented(self, names: list[str]) -> None:
         for name in names:
             rented = self.cloud_core.machines.get(name)
             if rented is not None and not rented.addr:
@@ -330,7 +339,7 @@
     def _free_port(self) -> int:
         return free_ports(1)[0]
 
-    def _up(self, rented: Rented) -> None:
+    def _on_machine_up(self, rented: RentedMachine) -> None:
         rented.started = True
         kind = rented.type
         core = WorkerCore(
@@ -345,7 +354,7 @@
             kind.cache_gb or float("inf"),
         )
         core.speed = self.random.uniform(0.95, 1.05)
-        machine = Machine(
+        machine = MachineProcess(
             core,
             self.clock,
             self.site.workers,
@@ -360,7 +369,7 @@
         self.machines[rented.name] = machine
         self.history.add("up", machine=rented.name)
 
-    def _gone(self, rented: Rented) -> None:
+    def _on_machine_gone(self, rented: RentedMachine) -> None:
         machine = self.machines.pop(rented.name, None)
         if machine is not None:
             machine.stop()
@@ -386,7 +395,7 @@
     def begin_load(self, factor: float) -> None:
         """Have users submit jobs of the site's classes, so many times as often as it says."""
         if self.load is None:
-            self.load = Load(
+            self.load = UserLoad(
                 self.front,
                 f"127.0.0.1:{self.front_port}",
                 list(self.site.classes),
@@ -397,7 +406,7 @@
             self.load.start()
         self.load.factor = factor
 
-    def breaches(self) -> list[Breach]:
+    def violations(self) -> list[RuleViolation]:
         """The rules broken so far."""
         return self.judge().breaches
 
--- a/badgerseam/lab/lab_rollout.py
+++ b/badgerseam/lab/lab_rollout.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from badgerseam.cli.client import Front, Unreachable, refusal
+from badgerseam.cli.client import ServiceClient, UnreachableError, refusal
 from badgerseam.cli.rollout import ask_view
-from badgerseam.lab.checkouts import Tree
+from badgerseam.lab.checkouts import Checkout
 from badgerseam.lab.lab import Lab
 from badgerseam.wire.rollout import View
 
 
-class LabSite:
+class LabRolloutTarget:
     """A lab, as a rollout is played on it."""
 
-    def __init__(self, lab: Lab, tree: Tree) -> None:
+    def __init__(self, lab: Lab, tree: Checkout) -> None:
         self._lab = lab
         self._tree = tree
 
@@ -20,13 +20,13 @@
         """How a controller sees the site; None if it does not answer."""
         return await ask_view(self._lab.addresses[node])
 
-    async def leave(self, node: str) -> str | None:
+    async def drain(self, node: str) -> str | None:
         """Ask a controller to leave; why it refused, or None."""
         try:
-            response = await Front(self._lab.addresses[node], 1.0).ask(
+            response = await ServiceClient(self._lab.addresses[node], 1.0).ask(
                 "POST", "/rollout/leave", b"{}"
             )
-        except Unreachable as error:
+        except UnreachableError as error:
             return str(error)
         return None if response.status == 200 else refusal(response)
 
--- a/badgerseam/lab/late_heartbeats.py
+++ b/badgerseam/lab/late_heartbeats.py
@@ -7,10 +7,10 @@
 from random import Random
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.http.client import NoResponse
+from badgerseam.http.client import NoResponseError
 from badgerseam.http.network import SOCKETS, Network
 from badgerseam.lab.links import Links
-from badgerseam.lab.next_leader_heartbeats import NextLeader
+from badgerseam.lab.next_leader_heartbeats import NextLeaderHeartbeats
 
 SOONEST_S = 1.0
 LEASES = 3.0
@@ -18,7 +18,7 @@
 RESPONSE_S = 4.0
 
 
-class Copies:
+class LateHeartbeats:
     """Keeps copies of some reports under way. They outlive the machine that sent the report."""
 
     def __init__(
@@ -38,7 +38,7 @@
         self._latest_s = LEASES * lease_s
         self._http = network.client(keep=8)
         self._tasks = BackgroundTasks()
-        self._next_leader = NextLeader(random, sorted(nodes), leader_claim, self._bring)
+        self._next_leader = NextLeaderHeartbeats(random, sorted(nodes), leader_claim, self._bring)
         self.part = 0.0
         """Of the reports that are copied, from 0 to 1."""
         self.for_next_leader = False
@@ -77,7 +77,7 @@
         try:
             # Whatever the answer is, nobody is there to hear it.
             await self._http.request(self._nodes[node], "POST", "/checkin", body, RESPONSE_S)
-        except NoResponse:
+        except NoResponseError:
             return
         self.delivered += 1
 
--- a/badgerseam/lab/load.py
+++ b/badgerseam/lab/load.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.http.client import Client, NoResponse
-from badgerseam.lab.load_balancer import Front, Truth
+from badgerseam.http.client import HttpClient, NoResponseError
+from badgerseam.lab.load_balancer import LoadBalancer, TrueBehaviour
 from badgerseam.lab.site import JobClass
 from badgerseam.wire import batch as batch_wire
 from badgerseam.wire import users as wire
@@ -34,7 +34,9 @@
     return f"{job_class.image}-{number}", round(size, 3)
 
 
-def make_job(job_class: JobClass, number: int, random: Random) -> tuple[wire.Submission, Truth]:
+def make_job(
+    job_class: JobClass, number: int, random: Random
+) -> tuple[wire.Submission, TrueBehaviour]:
     """A job of a class, as its owner describes it, and what it really does."""
     low, high = job_class.tasks
     run_s = job_class.run_s * random.lognormvariate(-(SIGMA**2) / 2, SIGMA)
@@ -65,15 +67,15 @@
         if job_class.due_times is None
         else round(max(5.0, guess_s * job_class.due_times), 1),
     )
-    return spec, Truth(run_s, random.random() < job_class.broken)
+    return spec, TrueBehaviour(run_s, random.random() < job_class.broken)
 
 
-class Load:
+class UserLoad:
     """Drives users until it is stopped."""
 
     def __init__(
         self,
-        front: Front,
+        front: LoadBalancer,
         address: str,
         classes: list[JobClass],
         random: Random,
@@ -88,7 +90,7 @@
         self.factor = factor
         self._chained: str | None = None
         """The latest accepted batch job, for others to wait for."""
-        self._http = Client(keep=128)
+        self._http = HttpClient(keep=128)
         self._users = BackgroundTasks()
         self._sources: list[asyncio.Task[None]] = []
         self.submitted = self.accepted = self.ended = self.given_up = 0
@@ -189,8 +191,8 @@
             try:
                 response = await self._http.request(self._address, "POST", "/numbers", b"{}", 5.0)
                 if response.status == 200:
-                    return batch_wire.taken_decoder.decode(response.body).numbers[0]
-            except NoResponse:
+                    return batch_wire.numbers_response_decoder.decode(response.body).numbers[0]
+            except NoResponseError:
                 pass
             await asyncio.sleep(1.0)
         return None
@@ -216,7 +218,7 @@
             response = await self._http.request(
                 self._address, "GET", f"/submissions/{job}", None, 2.0
             )
-        except NoResponse:
+        except NoResponseError:
             return ""
         return str(json.loads(response.body).get("phase")) if response.status == 200 else ""
 
@@ -234,7 +236,7 @@
                     return False
                 if response.retry_after is not None and response.retry_after.isdecimal():
                     pause = min(max(pause, float(response.retry_after)), 30.0)
-            except NoResponse:
+            except NoResponseError:
                 pause = 1.0
             await asyncio.sleep(pause * self._random.uniform(1.0, 1.2))
         return False
--- a/badgerseam/lab/reconcile.py
+++ b/badgerseam/lab/reconcile.py
@@ -8,18 +8,18 @@
 
 from msgspec import Struct
 
-from badgerseam.cli.client import Front
+from badgerseam.cli.client import ServiceClient
 from badgerseam.lab.history import Event
 from badgerseam.lab.lab import Lab
 from badgerseam.model.machine import BUMP_BITS
-from badgerseam.slurm.client import Batch, Refusal
-from badgerseam.wire.accounting import Line
+from badgerseam.slurm.client import BatchClient, RefusedError
+from badgerseam.wire.accounting import AccountingLine
 
 LATE_S = 1.0
 """How late reports may show a start or an end, together."""
 
 
-class Reconciled(Struct, frozen=True):
+class AccountingComparison(Struct, frozen=True):
     """What the accounts say beside what happened."""
 
     ended: int
@@ -41,12 +41,12 @@
     """Where the accounts claim what did not happen."""
 
 
-async def reconcile(lab: Lab) -> Reconciled | None:
+async def compare_with_accounts(lab: Lab) -> AccountingComparison | None:
     """Compare, from the accounts of any controller; None if none are kept."""
-    batch = Batch(Front(f"127.0.0.1:{lab.front_port}", 20.0))
+    batch = BatchClient(ServiceClient(f"127.0.0.1:{lab.front_port}", 20.0))
     try:
         lines = [line async for line in batch.accounting({})]
-    except Refusal:
+    except RefusedError:
         return None
     return compare(lab.history.events, lines)
 
@@ -69,7 +69,7 @@
         return before.session < self.session or before.term < self.term
 
 
-class _Starts:
+class _StartCounter:
     """Counts the starts that accounts have to tell, by job.
 
     A durable placement is one attempt, and may be started more than once: see `_Launch`. Any other
@@ -102,9 +102,9 @@
         self._started[key] = launch
 
 
-def compare(events: Iterable[Event], lines: list[Line]) -> Reconciled:
+def compare(events: Iterable[Event], lines: list[AccountingLine]) -> AccountingComparison:
     """Compare lists of ended jobs with the history so far."""
-    starts = _Starts()
+    starts = _StartCounter()
     seconds: dict[tuple[str, str], float] = {}
     began: dict[tuple[str, str], float] = {}
     ended: set[str] = set()
@@ -136,7 +136,7 @@
         if told > real + LATE_S * max(1, line.attempts):
             faults.append(f"{line.id}: {told:.1f} s accounted, {real:.1f} s on machines")
     missing = sorted(ended - set(seen))
-    return Reconciled(
+    return AccountingComparison(
         len(ended),
         len(seen),
         len(missing),
--- a/badgerseam/lab/report.py
+++ b/badgerseam/lab/report.py
@@ -13,13 +13,13 @@
 from hdrh.histogram import HdrHistogram
 from msgspec import Struct, field
 
-from badgerseam.lab.priority_inversions import find_jumps
-from badgerseam.lab.reconcile import Reconciled
+from badgerseam.lab.priority_inversions import find_inversions
+from badgerseam.lab.reconcile import AccountingComparison
 from badgerseam.lab.served import Largest, Served
 from badgerseam.model.resources import Resources
 
 if TYPE_CHECKING:
-    from badgerseam.lab.explain_load import Asker
+    from badgerseam.lab.explain_load import ExplainLoad
     from badgerseam.lab.history import Event
     from badgerseam.lab.lab import Lab
 
@@ -86,7 +86,7 @@
     """Answers to questions why a job waits, by status; 0: no response."""
     answer_s: list[float] = field(default_factory=list)
     reasons: dict[str, int] = field(default_factory=dict)
-    accounts: Reconciled | None = None
+    accounts: AccountingComparison | None = None
     """The accounts beside the history."""
     vacant_s: list[float] = field(default_factory=list)
     """How long nobody acted for a share or the leadership, each time, once somebody had."""
@@ -109,8 +109,8 @@
 def summarize(
     lab: Lab,
     samples: list[Sample],
-    asker: Asker,
-    accounts: Reconciled | None = None,
+    asker: ExplainLoad,
+    accounts: AccountingComparison | None = None,
     order: Sequence[str] = (),
 ) -> Report:
     """The figures of a lab's history so far; `order`: classes of jobs, the first one first."""
@@ -132,7 +132,7 @@
     times = asker.times
     verdict = lab.judge()
     site = lab.site
-    jumps = find_jumps(
+    jumps = find_inversions(
         events,
         order,
         site.teams,
--- a/badgerseam/lab/variant.py
+++ b/badgerseam/lab/variant.py
@@ -16,6 +16,7 @@
 import tomli_w
 
 from badgerseam.cli.exits import EXIT_OK, EXIT_USAGE, fail
+from badgerseam.errors import BadgerseamError
 
 ROOT = Path(__file__).resolve().parents[2]
 LONGEST_S = 600.0
@@ -25,7 +26,7 @@
 Site = dict[str, Any]
 
 
-class VariantError(Exception):
+class VariantError(BadgerseamError):
     """There can be no such variant: the message names the field and what to do."""
 
 
--- a/badgerseam/levels/table.py
+++ b/badgerseam/levels/table.py
@@ -22,7 +22,7 @@
     """Rows of tasks in the pages say when their attempt began to run."""
     NOTES = "notes"
     """Pages hold notes on single tasks: failures of a run's members, intents of replicas."""
-    PLACES = "places"
+    QUEUE_POSITIONS = "places"
     """Jobs' records keep their place in the queue when they are written again."""
 
 
@@ -45,11 +45,11 @@
 LEVELS = (
     Level(FIRST, "before levels"),
     Level(2, "starts of attempts", frozenset({Behaviour.ATTEMPT_STARTS})),
-    Level(3, "notes and places", frozenset({Behaviour.NOTES, Behaviour.PLACES})),
+    Level(3, "notes and places", frozenset({Behaviour.NOTES, Behaviour.QUEUE_POSITIONS})),
 )
 
 
-class Program:
+class ProgramLevels:
     """The levels that a program can act at: all of a table, one after the other."""
 
     def __init__(self, levels: tuple[Level, ...] = LEVELS) -> None:
@@ -64,7 +64,7 @@
             known |= level.behaviours
             self._active[level.number] = known
 
-    def fits(self, site: int) -> bool:
+    def supports(self, site: int) -> bool:
         """Whether it may act on a site of that level."""
         return self.least <= site <= self.most
 
@@ -76,10 +76,10 @@
         """The names of all that is switched on, sorted."""
         return sorted(behaviour.value for behaviour in self._active.get(site, ()))
 
-    def lowers(self, site: int) -> bool:
+    def can_lower_from(self, site: int) -> bool:
         """Whether a site can be put back from that level to the one below."""
         level = self._levels.get(site)
-        return level is not None and level.lowers and self.fits(site - 1)
+        return level is not None and level.lowers and self.supports(site - 1)
 
     def name(self, site: int) -> str:
         """What people call a level."""
--- a/badgerseam/model/accounts.py
+++ b/badgerseam/model/accounts.py
@@ -11,42 +11,42 @@
 
 
 @dataclass(slots=True)
-class Unclosed:
+class UnsummarizedJob:
     """A cancelled job without a summary."""
 
     stored: StoredJob
     version: int
-    share: int | None
+    shard: int | None
     usage: Usage | None = None
     """Measured by this controller."""
 
 
-class JobAccounts(Protocol):
+class JobAccounting(Protocol):
     """Told by the model what happens to jobs, with the model's lock held."""
 
     loading: bool
     """A share is being read: what is placed and taken back then is no news."""
 
-    def seen(self, job_id: str, stored: StoredJob, version: int) -> None:
+    def on_final_record(self, job_id: str, stored: StoredJob, version: int) -> None:
         """A job's final record, from the replica or written here."""
 
-    def due(self) -> list[tuple[str, Unclosed]]:
+    def next_unsummarized(self) -> list[tuple[str, UnsummarizedJob]]:
         """Cancelled jobs of owned shares that have left all machines, a few of them."""
 
-    def closing(self, entry: Unclosed) -> StoredJob:
+    def summarized_record(self, entry: UnsummarizedJob) -> StoredJob:
         """The final record of a cancelled job with its summary, without its description."""
 
-    def opened(self, job: Job) -> None:
+    def on_job_opened(self, job: Job) -> None:
         """A job has become known, or its share is read anew by its new owner."""
 
-    def placed(self, attempt: Attempt) -> None:
+    def on_attempt_placed(self, attempt: Attempt) -> None:
         """An attempt has become durable."""
 
-    def ended(self, attempt: Attempt, done: bool) -> None:
+    def on_attempt_ended(self, attempt: Attempt, done: bool) -> None:
         """An attempt is over."""
 
     def usage(self, job: Job) -> Usage | None:
         """The summary of a job that is done."""
 
-    def settled(self, job: Job) -> None:
+    def on_job_settled(self, job: Job) -> None:
         """A cancelled job has left all machines."""
