--- a/badgerseam/model/job_observer.py
+++ b/badgerseam/model/job_observer.py
@@ -8,29 +8,29 @@
 from badgerseam.wire.state import StoredMember
 
 
-class JobWatch(Protocol):
+class JobObserver(Protocol):
     """Told with the model's lock held; nothing of it may take long."""
 
-    def opened(self, job: Job) -> None:
+    def on_job_opened(self, job: Job) -> None:
         """A job has become known."""
 
-    def ended(self, job_id: str, stored: StoredMember, job: Job | None) -> None:
+    def on_job_ended(self, job_id: str, stored: StoredMember, job: Job | None) -> None:
         """A job's final record was seen for the first time; `job`: as it was until then."""
 
-    def settled(self, job: Job) -> None:
+    def on_job_settled(self, job: Job) -> None:
         """A job is forgotten, nothing of it being on a machine any more."""
 
-    def reread(self, job: Job) -> None:
+    def on_job_reread(self, job: Job) -> None:
         """A job of a share that is acted for from now on was read from the records."""
 
-    def over(self, attempt: Attempt) -> None:
+    def on_attempt_ended(self, attempt: Attempt) -> None:
         """An attempt was taken from its machine, its task waits again."""
 
-    def run_changed(self, plan: str) -> None:
+    def on_run_changed(self, plan: str) -> None:
         """A record of a run was seen."""
 
     def plan_of(self, job: Job) -> str | None:
         """The plan that a job belongs to."""
 
-    def held_name(self, job: Job) -> str:
+    def holding_run_name(self, job: Job) -> str:
         """The run that holds a job's members back, for people."""
--- a/badgerseam/model/keys.py
+++ b/badgerseam/model/keys.py
@@ -9,31 +9,31 @@
     return f"{PREFIX}j/{job_id}"
 
 
-def page_key(share: int, page: int) -> str:
-    return f"{PREFIX}p/{share}/{page}"
+def page_key(shard: int, page: int) -> str:
+    return f"{PREFIX}p/{shard}/{page}"
 
 
 def group_key(group: str) -> str:
     return f"{PREFIX}m/{group}"
 
 
-def claim_key(share: int) -> str:
-    return f"{PREFIX}c/{share}"
+def claim_key(shard: int) -> str:
+    return f"{PREFIX}c/{shard}"
 
 
-def counts_key(share: int) -> str:
-    return f"{PREFIX}g/{share}"
+def counts_key(shard: int) -> str:
+    return f"{PREFIX}g/{shard}"
 
 
 def node_key(node: str) -> str:
     return f"{PREFIX}n/{node}"
 
 
-def deputy_key(node: str) -> str:
+def proxy_key(node: str) -> str:
     return f"{PREFIX}d/{node}"
 
 
-def hire_key(name: str) -> str:
+def rental_key(name: str) -> str:
     return f"{PREFIX}h/{name}"
 
 
--- a/badgerseam/model/meter.py
+++ b/badgerseam/model/meter.py
@@ -11,11 +11,11 @@
 
 
 @dataclass(slots=True)
-class Meter:
+class AttemptMeter:
     """Of one job. What an earlier owner measured is not known to the next one: its attempts are
     counted, as far as the records tell, and marked as not measured."""
 
-    before: int = 0
+    unmeasured_before: int = 0
     """Attempts that the records knew when this owner took the job over."""
     placed: int = 0
     """Attempts made durable since then."""
@@ -60,7 +60,7 @@
         self, spec: Submission, submitted: float, eligible_at: float | None, wall: float
     ) -> Usage:
         """The summary that goes into the job's final record."""
-        attempts = self.before + self.placed
+        attempts = self.unmeasured_before + self.placed
         return msgspec.structs.replace(
             usage_of(spec, submitted, self.first_start, wall),
             attempts=attempts,
--- a/badgerseam/model/resources.py
+++ b/badgerseam/model/resources.py
@@ -27,7 +27,7 @@
     def times(self, count: int) -> Resources:
         return Resources(self.cpus * count, self.gpus * count, self.memory_gb * count)
 
-    def fits(self, room: Resources) -> bool:
+    def fits_in(self, room: Resources) -> bool:
         """Whether this much fits into the room."""
         return (
             self.cpus <= room.cpus + SLACK
@@ -35,7 +35,7 @@
             and self.memory_gb <= room.memory_gb + SLACK
         )
 
-    def times_in(self, room: Resources) -> int:
+    def count_in(self, room: Resources) -> int:
         """How often this fits into the room; a task that takes nothing counts as 1,000."""
         most = 1000.0
         for need, have in zip(self, room, strict=True):
--- a/badgerseam/model/state.py
+++ b/badgerseam/model/state.py
@@ -15,7 +15,7 @@
 
     at: float
     job_class: str
-    share: int
+    shard: int
     tasks: int
     need: Resources
     rank: int
@@ -26,37 +26,37 @@
 @dataclass(slots=True)
 class TeamState:
     name: str
-    share: int
+    shard: int
     guarantee: Resources
     limit: Resources
     used: Resources = NOTHING
 
 
 @dataclass(slots=True)
-class Held:
+class ObservedClaim:
     """A claim as the replica shows it."""
 
-    claim: wire.Holding
+    record: wire.ClaimRecord
     version: int
 
 
 @dataclass(slots=True)
-class Present:
+class ObservedController:
     """A controller's own record as the replica shows it."""
 
-    claim: wire.Presence
+    record: wire.ControllerRecord
     version: int
 
 
 @dataclass(slots=True)
-class Site:
+class ObservedLevel:
     """The site's level as the replica shows it."""
 
     level: int
     version: int
     """The stamp of its record, 0 if there is none: what is written in a form that depends on the
     level is conditional on it."""
-    carried: int = 1
+    migrated: int = 1
     """Up to which level all records have been carried over."""
 
 
@@ -66,10 +66,10 @@
 
 
 @dataclass(slots=True)
-class StandIn:
+class ObservedProxy:
     """A deputy's record as the replica shows it."""
 
-    claim: wire.Deputy
+    record: wire.ProxyRecord
     version: int
 
 
@@ -82,11 +82,11 @@
 
 
 @dataclass(slots=True)
-class Share:
+class Shard:
     """A share of teams and machines."""
 
     index: int
-    held: Held | None = None
+    claim: ObservedClaim | None = None
     owned: bool = False
     """This process acts for the share."""
     releasing: bool = False
@@ -95,24 +95,24 @@
     evicted: int = 0
     counts_version: int = 0
     owned_since: float = 0.0
-    vacant_since: float = 0.0
-    ever_held: bool = False
+    unowned_since: float = 0.0
+    ever_claimed: bool = False
     planned: list[Attempt] = field(default_factory=list)
     """Placements to be made durable."""
-    bits_due: dict[int, float] = field(default_factory=dict)
+    completions_due: dict[int, float] = field(default_factory=dict)
     """Jobs with finished tasks to be made durable, and by when."""
-    front: int | None = None
+    oldest_job: int | None = None
     """The job that has waited for so long that it goes first, see Planner."""
-    front_since: float = 0.0
-    front_part: float = 1.0
+    oldest_job_since: float = 0.0
+    oldest_job_fraction: float = 1.0
     """Of the starts, for it."""
-    front_credit: float = 1.0
+    oldest_job_credit: float = 1.0
     """Starts of low-priority work that it may still take before others have their turn."""
     notes_due: set[int] = field(default_factory=set)
     """Jobs with notes to be made durable, with the next write of the share or before."""
-    notes_ride: dict[int, float] = field(default_factory=dict)
+    notes_deferred: dict[int, float] = field(default_factory=dict)
     """Jobs with notes that go with whatever is written next, and by when they go alone."""
     committing: bool = False
     """A transaction with tasks of the share is on its way; there is one at a time."""
-    last_holder: str | None = None
+    previous_owner: str | None = None
     """The controller that held the share before its present claim, as far as known."""
--- a/badgerseam/options/classes.py
+++ b/badgerseam/options/classes.py
@@ -11,7 +11,7 @@
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 
 
-MOST_BYTES = 6000
+MAX_BYTES = 6000
 """Of all names together: the classes of a site are one value of the state service."""
 
 
@@ -86,9 +86,9 @@
                     f"{where}.teams: no team {team!r} in the settings: name one of {known}"
                 )
     size = len(msgspec.json.encode(options.order))
-    if size > MOST_BYTES:
+    if size > MAX_BYTES:
         found.append(
-            f"order: takes {size} bytes, {MOST_BYTES} at most: name teams instead of their classes "
+            f"order: takes {size} bytes, {MAX_BYTES} at most: name teams instead of their classes "
             "of jobs, and leave out what the default is for"
         )
     if options.default and options.default not in named:
--- a/badgerseam/options/replicas.py
+++ b/badgerseam/options/replicas.py
@@ -67,7 +67,7 @@
     ] = field(default_factory=dict)
 
 
-MOST_S = 86_400.0
+MAX_S = 86_400.0
 
 
 def check(options: ReplicasOptions, teams: Collection[str]) -> list[str]:
@@ -107,6 +107,6 @@
             ("degraded_s", entry.degraded_s, 0.0),
             ("drain_s", entry.drain_s, 0.0),
         ):
-            if not least <= value <= MOST_S:
-                bad(field_name, f"{value:g} s; give {least:g} to {MOST_S:g}")
+            if not least <= value <= MAX_S:
+                bad(field_name, f"{value:g} s; give {least:g} to {MAX_S:g}")
     return found
--- a/badgerseam/replicas/observed_state.py
+++ b/badgerseam/replicas/observed_state.py
@@ -2,41 +2,43 @@
 
 from __future__ import annotations
 
-from badgerseam.model.job import FINISHED, Host, Job, Stage
+from badgerseam.model.job import FINISHED, AttemptHost, Job, Stage
 from badgerseam.model.model import Model
-from badgerseam.replicas.phases import Seen
-from badgerseam.replicas.reservations import Rooms
+from badgerseam.replicas.phases import ObservedMembers
+from badgerseam.replicas.reservations import Reservations
 
-SILENT_REPORTS = 3
+UNRESPONSIVE_INTERVALS = 3
 """Report intervals without a report after which a machine counts as hanging."""
 
 
-class Sight:
+class MemberObserver:
     """Looks; changes nothing but what is remembered of where members were."""
 
-    def __init__(self, model: Model, rooms: Rooms) -> None:
+    def __init__(self, model: Model, rooms: Reservations) -> None:
         self._model = model
         self._rooms = rooms
-        self._silence_s = SILENT_REPORTS * model.settings.params.workers.report_s + 0.5
+        self._silence_s = UNRESPONSIVE_INTERVALS * model.settings.params.workers.report_s + 0.5
 
-    def silent_at(self, machine: Host) -> float:
+    def unresponsive_at(self, machine: AttemptHost) -> float:
         """When a machine counts as hanging if nothing is heard of it until then."""
-        return max(machine.heard_at, machine.taken_at) + self._silence_s
+        return max(machine.last_heartbeat_at, machine.owned_since) + self._silence_s
 
-    def silent(self, machine: Host) -> bool:
+    def is_unresponsive(self, machine: AttemptHost) -> bool:
         """Whether nothing is certain of what is on a machine."""
         now = self._model.clock.now()
-        return machine.lost or machine.given_up or now >= self.silent_at(machine)
+        return machine.lost or machine.given_up or now >= self.unresponsive_at(machine)
 
-    def vacated(self, job: Job, tasks: range) -> bool:
+    def is_evacuated(self, job: Job, tasks: range) -> bool:
         """Whether a member's machine is emptied for work of another share."""
         return any(
-            attempt.machine.vacate_to is not None
+            attempt.machine.evacuate_to is not None
             for task in tasks
             if (attempt := job.attempts.get(task)) is not None
         )
 
-    def see(self, job: Job, tasks: range, durable: bool, room: bool, moves: bool) -> Seen:
+    def observe(
+        self, job: Job, tasks: range, durable: bool, room: bool, moves: bool
+    ) -> ObservedMembers:
         """The members as they are now; the last three as `Seen` has them."""
         absent, planned, placed, runs, unseen = set(), set(), set(), set(), set()
         stopping, hung, leaving = set(), set(), set()
@@ -48,7 +50,7 @@
                 absent.add(task)
                 continue
             machine = attempt.machine
-            self._rooms.was_on(job, task, machine)
+            self._rooms.note_member(job, task, machine)
             if attempt.stage == Stage.PLANNED:
                 planned.add(task)
             elif attempt.stage >= Stage.RUNNING:
@@ -57,13 +59,13 @@
                 placed.add(task)
                 if attempt.unseen and attempt.stage == Stage.PLACED:
                     unseen.add(task)
-            if attempt.stopping or attempt.stage == Stage.SAVING:
+            if attempt.stopping or attempt.stage == Stage.CHECKPOINTING:
                 stopping.add(task)
-            if self.silent(machine):
+            if self.is_unresponsive(machine):
                 hung.add(task)
             elif machine.draining:
                 leaving.add(task)
-        return Seen(
+        return ObservedMembers(
             frozenset(absent),
             frozenset(planned),
             frozenset(placed),
@@ -74,6 +76,6 @@
             frozenset(leaving),
             durable,
             room,
-            self._model.shares[job.share].owned_since,
+            self._model.shards[job.shard].owned_since,
             moves,
         )
--- a/badgerseam/replicas/shapes.py
+++ b/badgerseam/replicas/shapes.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class ReplicaShape:
     """The replicas of a job: numbers, sizes and rules."""
 
     size: int
@@ -34,19 +34,19 @@
         return range(number * self.size, self.total if last else (number + 1) * self.size)
 
 
-def shape_of(options: ReplicasOptions, spec: Submission) -> Shape | None:
+def shape_of(options: ReplicasOptions, spec: Submission) -> ReplicaShape | None:
     """A job's replicas; None if each of its tasks stands alone, as those of an array do."""
     rules = options.classes.get(spec.job_class)
     if rules is None or spec.kind == "sweep":
         return None
     if rules.tasks is None or spec.kind == "group":
-        return Shape(spec.tasks, 1, spec.tasks, rules)
+        return ReplicaShape(spec.tasks, 1, spec.tasks, rules)
     # Accepted before the options said so: the last one takes what is left.
     size = min(rules.tasks, spec.tasks)
-    return Shape(size, max(1, spec.tasks // size), spec.tasks, rules)
+    return ReplicaShape(size, max(1, spec.tasks // size), spec.tasks, rules)
 
 
-def unfit(
+def infeasible_reason(
     options: ReplicasOptions, types: Mapping[str, MachineType], spec: Submission
 ) -> str | None:
     """Why no set of machines can ever hold the job's replicas, with field and remedy; or None."""
@@ -88,7 +88,7 @@
     need = Resources(spec.cpus, spec.gpus, spec.memory_gb)
     return max(
         (
-            need.times_in(Resources(entry.cpus, entry.gpus, entry.memory_gb))
+            need.count_in(Resources(entry.cpus, entry.gpus, entry.memory_gb))
             for name, entry in types.items()
             if (spec.types is None or name in spec.types)
             and (spec.zone is None or spec.zone in entry.zones)
--- a/badgerseam/rollout/handover.py
+++ b/badgerseam/rollout/handover.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.availability import Away
-from badgerseam.cluster.membership import AskToTake, Member
+from badgerseam.cluster.availability import UnavailableReason
+from badgerseam.cluster.membership import Membership, RequestTakeover
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.model import Model
 from badgerseam.model.state import STALE_S
@@ -37,8 +37,8 @@
     def __init__(
         self,
         model: Model,
-        member: Member,
-        ask: AskToTake,
+        member: Membership,
+        ask: RequestTakeover,
         open_requests: Callable[[], int],
     ) -> None:
         self._model = model
@@ -52,80 +52,80 @@
         self._tasks = BackgroundTasks()
 
     @property
-    def leaving(self) -> bool:
-        return self._member.away(Away.LEAVING)
+    def is_draining(self) -> bool:
+        return self._member.is_unavailable(UnavailableReason.DRAINING)
 
     @property
-    def left(self) -> bool:
+    def is_drained(self) -> bool:
         """Nothing is held any more."""
-        return self._left_at is not None and not self._held()
+        return self._left_at is not None and not self._held_claims()
 
     @property
-    def may_end(self) -> bool:
+    def may_stop(self) -> bool:
         """Nothing is held, and nobody waits for an answer or would come for one."""
         since = self._left_at
         return (
             since is not None
-            and self.left
+            and self.is_drained
             and self._clock.now() - since >= DRAIN_S
             and self._open_requests() == 0
         )
 
-    def leave(self) -> str | None:
+    def drain(self) -> str | None:
         """Begin to leave, if that was not asked before; why that cannot be, or None."""
-        if self.leaving:
+        if self.is_draining:
             return None
-        if not self._member.others():
+        if not self._member.takeover_candidates():
             return "no other controller would take its shares"
         log.info("asked to leave")
         self._left_at = None
         self._began_at = self._clock.now()
-        self._member.go_away(Away.LEAVING)
+        self._member.mark_unavailable(UnavailableReason.DRAINING)
         self._task = self._tasks.spawn(self._leave())
         return None
 
-    def come_back(self) -> None:
+    def resume(self) -> None:
         """Take shares as before."""
         if self._task is not None:
             self._task.cancel()
         self._left_at = None
-        self._member.come_back(Away.LEAVING)
+        self._member.mark_available(UnavailableReason.DRAINING)
         log.info("asked to come back")
 
-    def _held(self) -> list[tuple[str, int]]:
+    def _held_claims(self) -> list[tuple[str, int]]:
         """Our claims and their stamps, the leadership last: whoever leads deals in shares."""
         model, member = self._model, self._member
         found = [
-            (claim_key(share.index), share.held.version)
-            for share in model.shares
-            if share.held is not None and share.held.claim.node == member.node
+            (claim_key(shard.index), shard.claim.version)
+            for shard in model.shards
+            if shard.claim is not None and shard.claim.record.node == member.node
         ]
-        leader = model.leader
-        if leader is not None and leader.claim.node == member.node:
+        leader = model.leader_claim
+        if leader is not None and leader.record.node == member.node:
             found.append((LEADER_KEY, leader.version))
         return found
 
     async def _leave(self) -> None:
         # Known to the siblings first: they would bring shares home to us, or leave them to us.
-        while not await self._member.told_away():
+        while not await self._member.announce_unavailable():
             await asyncio.sleep(ANNOUNCE_S)
         while True:
             with self._model.lock:
-                held = self._held()
+                held = self._held_claims()
             if not held:
                 break
             for key, version in held:
-                await self._pass_on(key, version)
+                await self._hand_over(key, version)
         self._left_at = self._clock.now()
         log.info("has left: no share is held, nor the leadership")
 
-    async def _pass_on(self, key: str, version: int) -> None:
+    async def _hand_over(self, key: str, version: int) -> None:
         answered = False
-        for name in self._member.others():
+        for name in self._member.takeover_candidates():
             taken = await self._ask(name, key, version)
             answered |= taken is not None
             if taken:
-                if await self._gone(key, version):
+                if await self._claim_is_gone(key, version):
                     log.info("%s: passed on to %s", key, name)
                     return
                 break
@@ -133,29 +133,31 @@
             if answered or self._others_are_there():
                 # All are older programs, or take none: as from one that hears no worker.
                 self._give_up(key)
-        await self._gone(key, version)
+        await self._claim_is_gone(key, version)
 
     def _others_are_there(self) -> bool:
         """Whether the record of a sibling has outlasted what it would if its process had ended
         before we began to ask: without that, nobody might act for what we give up."""
         waited_s = self._clock.now() - self._began_at
-        return waited_s > self._member.claim_ttl_s + STALE_S and bool(self._member.others())
+        return waited_s > self._member.claim_ttl_s + STALE_S and bool(
+            self._member.takeover_candidates()
+        )
 
     def _give_up(self, key: str) -> None:
         with self._model.lock:
             if key == LEADER_KEY:
                 self._member.resign_leadership()
                 return
-            share = next(s for s in self._model.shares if claim_key(s.index) == key)
-            if share.owned:
-                self._member.resign(share)
+            shard = next(s for s in self._model.shards if claim_key(s.index) == key)
+            if shard.owned:
+                self._member.resign(shard)
 
-    async def _gone(self, key: str, version: int) -> bool:
+    async def _claim_is_gone(self, key: str, version: int) -> bool:
         """Whether the replica shows within a while that the claim is not ours as it was."""
         until = self._clock.now() + SHOWN_S
         while self._clock.now() < until:
             with self._model.lock:
-                if (key, version) not in self._held():
+                if (key, version) not in self._held_claims():
                     return True
             await asyncio.sleep(STEP_S)
         return False
--- a/badgerseam/rollout/level_upgrade.py
+++ b/badgerseam/rollout/level_upgrade.py
@@ -12,13 +12,13 @@
 import logging
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.membership import Member
+from badgerseam.cluster.membership import Membership
 from badgerseam.levels.table import FIRST
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY, TARGET_KEY, node_key
 from badgerseam.model.model import Model
 from badgerseam.settings import RolloutOptions
-from badgerseam.store.client import LeaseLost, Refused, Unavailable
-from badgerseam.store.committer import Committer, Dropped, Urgency
+from badgerseam.store.client import ConditionFailedError, LeaseExpiredError, StateUnavailableError
+from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
 from badgerseam.wire.rollout import Obstacle
 
@@ -29,11 +29,11 @@
 """After a step that was refused or not answered."""
 
 
-class Raising:
+class LevelUpgrade:
     """Looks, on the leader, whether the level can be moved, and moves it."""
 
     def __init__(
-        self, model: Model, member: Member, committer: Committer, options: RolloutOptions
+        self, model: Model, member: Membership, committer: GroupCommitter, options: RolloutOptions
     ) -> None:
         self._model = model
         self._member = member
@@ -50,7 +50,7 @@
     def next_level(self) -> int | None:
         """The level that the site is to go to now; None if it is where it should be."""
         model = self._model
-        level = model.site.level
+        level = model.level.level
         wanted = model.program.most if model.target is None else model.target[0].level
         if wanted > level:
             return level + 1
@@ -62,30 +62,30 @@
         """What keeps the site from going to a level, by controller."""
         model = self._model
         found = []
-        if level < model.site.level and not model.program.lowers(model.site.level):
-            reason = f"level {model.site.level} cannot be undone: see docs/rollout.md"
+        if level < model.level.level and not model.program.can_lower_from(model.level.level):
+            reason = f"level {model.level.level} cannot be undone: see docs/rollout.md"
             found.append(Obstacle("", reason))
         now = self._clock.now()
         for name in self._member.order:
-            present = model.nodes.get(name)
+            present = model.controllers.get(name)
             if present is None:
                 found.append(Obstacle(name, "is down, or cut off from the state service"))
                 continue
-            claim = present.claim
-            if not claim.least <= level <= claim.most:
-                reads = f"{claim.least} to {claim.most}"
+            claim = present.record
+            if not claim.min_level <= level <= claim.max_level:
+                reads = f"{claim.min_level} to {claim.max_level}"
                 found.append(Obstacle(name, f"its program reads levels {reads}, not level {level}"))
                 continue
             since = self._since.get(name)
             steady = 0.0 if since is None else now - since[1]
-            if steady < self._options.steady_s and not self._empty():
+            if steady < self._options.steady_s and not self._is_site_empty():
                 found.append(Obstacle(name, "has not been there for long enough yet"))
         return found
 
-    def _empty(self) -> bool:
+    def _is_site_empty(self) -> bool:
         """Nothing was ever submitted: there is nothing that anybody could misread."""
         model = self._model
-        return not model.job_index and not model.ended and not model.site.version
+        return not model.job_index and not model.ended and not model.level.version
 
     def review(self) -> None:
         """Called a few times a second, with the model's lock held."""
@@ -94,11 +94,11 @@
             self._since.clear()
             return
         now = self._clock.now()
-        for name in [name for name in self._since if name not in model.nodes]:
+        for name in [name for name in self._since if name not in model.controllers]:
             del self._since[name]
-        for name, present in model.nodes.items():
-            claim = present.claim
-            mark = (claim.lease, claim.least, claim.most)
+        for name, present in model.controllers.items():
+            claim = present.record
+            mark = (claim.lease, claim.min_level, claim.max_level)
             if self._since.get(name, (None, 0.0))[0] != mark:
                 self._since[name] = (mark, now)
         if self._moving or not member.is_leader or now < self._not_before:
@@ -120,19 +120,19 @@
     async def _move(self, level: int) -> None:
         model, member = self._model, self._member
         with model.lock:
-            leader, target = model.leader, model.target
-            if any(name not in model.nodes for name in member.order):
+            leader, target = model.leader_claim, model.target
+            if any(name not in model.controllers for name in member.order):
                 # Gone since the review that found nothing in the way.
                 self._moving = False
                 return
             conditions = {
-                LEVEL_KEY: model.site.version,
+                LEVEL_KEY: model.level.version,
                 TARGET_KEY: 0 if target is None else target[1],
             }
             if leader is not None:
                 conditions[LEADER_KEY] = leader.version
-            conditions |= {node_key(name): model.nodes[name].version for name in member.order}
-            carried = min(model.site.carried, level)
+            conditions |= {node_key(name): model.controllers[name].version for name in member.order}
+            carried = min(model.level.migrated, level)
             record = wire.SiteLevel(level, member.node, round(self._clock.wall(), 3), carried)
             write = (
                 wire.Write(delete=LEVEL_KEY)
@@ -146,14 +146,19 @@
             log.info("the site is at level %d (%s)", level, model.program.name(level))
             with model.lock:
                 model.apply(LEVEL_KEY, write.value, revision)
-        except (Refused, Unavailable, Dropped, LeaseLost) as error:
+        except (
+            ConditionFailedError,
+            StateUnavailableError,
+            ProposalDroppedError,
+            LeaseExpiredError,
+        ) as error:
             # Whether it was applied, the replica will tell: nothing else is done on it.
             log.info("level %d was not set: %r", level, error)
             self._not_before = self._clock.now() + PAUSE_S
         finally:
             self._moving = False
 
-    async def want(self, level: int | None, node: str) -> None:
+    async def set_target(self, level: int | None, node: str) -> None:
         """Make durable which level operators want (None: the newest); Refused or Unavailable."""
         model = self._model
         with model.lock:
--- a/badgerseam/rollout/migration.py
+++ b/badgerseam/rollout/migration.py
@@ -21,13 +21,18 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from badgerseam.cluster.membership import Member
+from badgerseam.cluster.membership import Membership
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY
 from badgerseam.model.model import Model
-from badgerseam.store.client import LeaseLost, Refused, StateClient, Unavailable
-from badgerseam.store.committer import Committer, Dropped, Urgency
+from badgerseam.store.client import (
+    ConditionFailedError,
+    LeaseExpiredError,
+    StateClient,
+    StateUnavailableError,
+)
+from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
-from badgerseam.wire.rollout import Carrying as CarryingView
+from badgerseam.wire.rollout import MigrationProgress as CarryingView
 
 log = logging.getLogger("badgerseam.rollout")
 
@@ -35,11 +40,11 @@
 """Between two steps: a few requests a second at most, whatever the budget is."""
 IDLE_S = 1.0
 DEADLINE_S = 30.0
-MOST_BYTES = 32 * 1024
+MAX_TRANSACTION_BYTES = 32 * 1024
 """Of one step; a transaction may have 64 KiB."""
 
 
-class Form(Protocol):
+class RecordFormat(Protocol):
     """A change of form that a level brings."""
 
     level: int
@@ -55,12 +60,12 @@
         record holds may be lost."""
 
 
-FORMS: tuple[Form, ...] = ()
+RECORD_FORMATS: tuple[RecordFormat, ...] = ()
 """Those of this program. Level 2 has none: rows without a start stay valid."""
 
 
 @dataclass(slots=True)
-class Progress:
+class PassProgress:
     """Of the pass that goes on."""
 
     after: str | None = None
@@ -70,24 +75,24 @@
     """The stamp of the level's record when it began."""
 
 
-class Carrying:
+class RecordMigration:
     """Done by the leader for one form after the other, in the order of their levels."""
 
     def __init__(
         self,
         model: Model,
-        member: Member,
+        member: Membership,
         state: StateClient,
-        committer: Committer,
-        forms: Sequence[Form] = (),
+        committer: GroupCommitter,
+        forms: Sequence[RecordFormat] = (),
     ) -> None:
         self._model = model
         self._member = member
         self._state = state
         self._committer = committer
         self._forms = sorted(forms, key=lambda form: form.level)
-        self._pass: Progress | None = None
-        self._form: Form | None = None
+        self._pass: PassProgress | None = None
+        self._form: RecordFormat | None = None
         self.rewritten = 0
         self.overtaken = 0
         """Records that their owner, or an earlier sending, had changed meanwhile."""
@@ -98,23 +103,23 @@
         while self._forms:
             await asyncio.sleep(PAUSE_S if await self.step() else IDLE_S)
 
-    def due(self) -> Form | None:
+    def due_format(self) -> RecordFormat | None:
         """The form that is to be carried over now."""
-        site = self._model.site
-        if not self._member.is_leader or not self._model.loaded or not self._model.fits:
+        site = self._model.level
+        if not self._member.is_leader or not self._model.loaded or not self._model.is_supported:
             return None
-        return next((f for f in self._forms if site.carried < f.level <= site.level), None)
+        return next((f for f in self._forms if site.migrated < f.level <= site.level), None)
 
     async def step(self) -> bool:
         """Look at one page of keys, and write anew what is old on it; whether there was anything
         to do."""
-        form = self.due()
+        form = self.due_format()
         if form is None:
             self._pass = self._form = None
             return False
-        version = self._model.site.version
+        version = self._model.level.version
         if self._pass is None or self._form is not form or self._pass.begun_at != version:
-            self._pass, self._form = Progress(begun_at=version), form
+            self._pass, self._form = PassProgress(begun_at=version), form
         progress = self._pass
         try:
             page = await self._state.page(form.prefix, progress.after)
@@ -135,14 +140,14 @@
                 )
                 self._pass = None
             else:
-                await self._declare(form, progress)
+                await self._mark_migrated(form, progress)
                 self._pass = None
-        except (Unavailable, Dropped, LeaseLost) as error:
+        except (StateUnavailableError, ProposalDroppedError, LeaseExpiredError) as error:
             log.debug("carrying over: %r", error)
         return True
 
     def _parts(
-        self, form: Form, entries: list[wire.Entry]
+        self, form: RecordFormat, entries: list[wire.Entry]
     ) -> list[list[tuple[wire.Entry, list[wire.Write]]]]:
         """Rewritten records in transactions within the limits."""
         most = self._state.params.txn_ops
@@ -151,7 +156,7 @@
         for entry in entries:
             writes = form.rewrite(entry)
             taken = sum(len(bytes(write.value or b"")) + 250 for write in writes)
-            if not parts or room < len(writes) or size + taken > MOST_BYTES:
+            if not parts or room < len(writes) or size + taken > MAX_TRANSACTION_BYTES:
                 parts.append([])
                 room, size = most, 0
             parts[-1].append((entry, writes))
@@ -167,9 +172,9 @@
             writes = [write for _, entries in part for write in entries]
             try:
                 await self._committer.commit(
-                    Urgency.CARRY, conditions, writes, DEADLINE_S, wanted=self._wanted
+                    Urgency.MIGRATE, conditions, writes, DEADLINE_S, wanted=self._wanted
                 )
-            except Refused as refusal:
+            except ConditionFailedError as refusal:
                 if LEVEL_KEY in refusal.failed:
                     return
                 left = [item for item in part if item[0].key not in refusal.failed]
@@ -184,11 +189,11 @@
     def _wanted(self) -> bool:
         return self._member.is_leader
 
-    async def _declare(self, form: Form, progress: Progress) -> None:
+    async def _mark_migrated(self, form: RecordFormat, progress: PassProgress) -> None:
         """A pass has met no record of the older form: say so in the level's record."""
         model = self._model
         with model.lock:
-            leader, site = model.leader, model.site
+            leader, site = model.leader_claim, model.level
         if leader is None or site.version != progress.begun_at:
             return
         wall = round(model.clock.wall(), 3)
@@ -196,13 +201,13 @@
         write = wire.Write(put=LEVEL_KEY, value=wire.raw(record))
         try:
             revision = await self._committer.commit(
-                Urgency.CARRY,
+                Urgency.MIGRATE,
                 {LEVEL_KEY: site.version, LEADER_KEY: leader.version},
                 [write],
                 DEADLINE_S,
                 wanted=self._wanted,
             )
-        except Refused as refusal:
+        except ConditionFailedError as refusal:
             log.debug("not declared: %s", refusal)
             return
         log.info("level %d: all %d records are carried over", form.level, progress.scanned)
@@ -211,11 +216,11 @@
 
     def view(self) -> CarryingView:
         """How far it has come on this controller."""
-        site, progress = self._model.site, self._pass
+        site, progress = self._model.level, self._pass
         spent = max(1e-9, self._model.clock.now() - self._since)
-        pending = [form.level for form in self._forms if site.carried < form.level <= site.level]
+        pending = [form.level for form in self._forms if site.migrated < form.level <= site.level]
         return CarryingView(
-            site.carried,
+            site.migrated,
             pending,
             0 if progress is None else progress.scanned,
             0 if progress is None else progress.old,
--- a/badgerseam/rollout/page_refresh.py
+++ b/badgerseam/rollout/page_refresh.py
@@ -12,38 +12,38 @@
 
 from badgerseam.levels.table import Behaviour
 from badgerseam.model.model import Model
-from badgerseam.store.committer import Committer
+from badgerseam.store.committer import GroupCommitter
 from badgerseam.store.ledger import Ledger
-from badgerseam.store.page_rewriter import Rewriting
-from badgerseam.store.task_log import lacking
-from badgerseam.wire.rollout import Refreshing
+from badgerseam.store.page_rewriter import PageRewriter
+from badgerseam.store.task_log import count_missing_starts
+from badgerseam.wire.rollout import RefreshProgress
 
-RAN_S = 20.0
+MIN_RUN_S = 20.0
 """Tasks that have run for less may soon be over, and cost no write."""
 
 
-class Refresh:
+class PageRefresh:
     """Of the shares that this controller owns."""
 
-    def __init__(self, model: Model, ledger: Ledger, committer: Committer) -> None:
+    def __init__(self, model: Model, ledger: Ledger, committer: GroupCommitter) -> None:
         self._model = model
-        self._pages = Rewriting(
-            model, ledger, committer, lambda page: lacking(model, page, RAN_S) > 0
+        self._pages = PageRewriter(
+            model, ledger, committer, lambda page: count_missing_starts(model, page, MIN_RUN_S) > 0
         )
 
     def review(self) -> None:
         """Look at one page of each owned share; called about once a second, with the lock held."""
-        if self._model.active(Behaviour.ATTEMPT_STARTS):
+        if self._model.is_active(Behaviour.ATTEMPT_STARTS):
             self._pages.review()
 
-    def view(self) -> Refreshing:
+    def view(self) -> RefreshProgress:
         """How far it has come; looks at all pages, and is for operators' questions only."""
         model = self._model
         rows = behind = 0
-        for share in model.shares:
-            if not share.owned:
+        for shard in model.shards:
+            if not shard.owned:
                 continue
-            for page in model.pages[share.index].values():
+            for page in model.pages[shard.index].values():
                 rows += sum(len(entry.rows) for entry in page.jobs.values())
-                behind += lacking(model, page, RAN_S)
-        return Refreshing(rows, behind, self._pages.written)
+                behind += count_missing_starts(model, page, MIN_RUN_S)
+        return RefreshProgress(rows, behind, self._pages.written)
--- a/badgerseam/rollout/rolling_update.py
+++ b/badgerseam/rollout/rolling_update.py
@@ -13,27 +13,28 @@
 from typing import Protocol
 
 from badgerseam.clock import Clock
+from badgerseam.errors import BadgerseamError
 from badgerseam.wire.rollout import View
 
-HEARD = 0.9
+RESPONSIVE_FRACTION = 0.9
 """Part of a controller's machines that have to report to it: some hang, or are about to go."""
 LOOK_S = 0.25
-UNANSWERED = 4
+MAX_UNANSWERED = 4
 """Looks in a row without an answer after which a controller counts as gone."""
 
 
-class Stopped(Exception):
+class RolloutStoppedError(BadgerseamError):
     """The rollout has stopped by itself; the message says at which controller and why. Those that
     were replaced stay so: none is put back without an operator's word."""
 
 
-class Site(Protocol):
+class RolloutTarget(Protocol):
     """What a rollout is played on."""
 
     async def view(self, node: str) -> View | None:
         """How a controller sees the site; None if it does not answer."""
 
-    async def leave(self, node: str) -> str | None:
+    async def drain(self, node: str) -> str | None:
         """Ask a controller to leave; why it refused, or None."""
 
     async def replace(self, node: str) -> None:
@@ -41,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class StepTimeouts:
     """How long each step may take, in seconds, before the rollout stops."""
 
     leave_s: float = 60.0
@@ -52,67 +53,77 @@
     """How long the whole site has to be well before the next one."""
 
 
-Told = Callable[[str], None]
+ReportProgress = Callable[[str], None]
 
 
-async def order(site: Site, nodes: list[str]) -> list[str]:
+async def update_order(site: RolloutTarget, nodes: list[str]) -> list[str]:
     """The controllers, the leader last: it changes hands once. Stopped if one does not answer."""
     leader: str | None = None
     for node in nodes:
         view = await site.view(node)
         if view is None:
-            raise Stopped(f"{node} does not answer: a rollout begins with all controllers well")
+            raise RolloutStoppedError(
+                f"{node} does not answer: a rollout begins with all controllers well"
+            )
         leader = view.leader or leader
         missing = [entry.node for entry in view.controllers if entry.node not in nodes]
         if missing:
-            raise Stopped(
+            raise RolloutStoppedError(
                 f"{', '.join(missing)}: configured, but not among the nodes given: "
                 "a level rises only when all have the new program"
             )
     return sorted(nodes, key=lambda node: node == leader)
 
 
-class Choreography:
+class RollingUpdate:
     """Plays one rollout."""
 
-    def __init__(self, site: Site, clock: Clock, told: Told, limits: Limits | None = None) -> None:
+    def __init__(
+        self,
+        site: RolloutTarget,
+        clock: Clock,
+        told: ReportProgress,
+        limits: StepTimeouts | None = None,
+    ) -> None:
         self._site = site
         self._clock = clock
         self._told = told
-        self._limits = limits or Limits()
+        self._limits = limits or StepTimeouts()
         self._uptimes: dict[str, float] = {}
 
     async def run(self, nodes: list[str]) -> None:
         """Replace the controllers one by one; Stopped if something got worse."""
         limits = self._limits
-        for node in await order(self._site, nodes):
-            await self._until_well(nodes, None, limits.back_s, limits.steady_s)
-            refusal = await self._site.leave(node)
+        for node in await update_order(self._site, nodes):
+            await self._wait_until_healthy(nodes, None, limits.back_s, limits.steady_s)
+            refusal = await self._site.drain(node)
             if refusal is not None:
-                raise Stopped(f"{node} cannot leave: {refusal}")
+                raise RolloutStoppedError(f"{node} cannot leave: {refusal}")
             self._told(f"{node}: asked to leave")
-            await self._until_left(nodes, node)
+            await self._wait_until_drained(nodes, node)
             self._told(f"{node}: holds nothing, replaced")
             self._uptimes.pop(node, None)
             await self._site.replace(node)
-            await self._until_well(nodes, node, limits.back_s, 0.0)
+            await self._wait_until_healthy(nodes, node, limits.back_s, 0.0)
             self._told(f"{node}: acts again")
-        await self._until_well(nodes, None, limits.back_s, limits.steady_s)
+        await self._wait_until_healthy(nodes, None, limits.back_s, limits.steady_s)
         self._told("all controllers are replaced")
 
-    async def _until_left(self, nodes: list[str], node: str) -> None:
+    async def _wait_until_drained(self, nodes: list[str], node: str) -> None:
         until = self._clock.now() + self._limits.leave_s
         while self._clock.now() < until:
-            await self._same(nodes, node)
+            await self._check_others_unchanged(nodes, node)
             view = await self._site.view(node)
             if view is not None and view.own.may_end:
                 return
             if view is not None and view.own.state == "acting":
-                raise Stopped(f"{node} acts again: it has ended meanwhile, or was asked to return")
+                raise RolloutStoppedError(
+                    f"{node} acts again: it has ended meanwhile, or was asked to return"
+                )
             await asyncio.sleep(LOOK_S)
-        raise Stopped(f"{node} still holds something after {self._limits.leave_s:g} s")
+        raise RolloutStoppedError(f"{node} still holds something after {self._limits.leave_s:g} s")
 
-    async def _same(self, nodes: list[str], but: str | None) -> None:
+    async def _check_others_unchanged(self, nodes: list[str], but: str | None) -> None:
         """Stopped if another controller than the one at work has ended meanwhile."""
         for node in nodes:
             if node == but:
@@ -120,19 +131,19 @@
             view = await self._site.view(node)
             if view is None:
                 # It may be slow, or cut off for a moment.
-                for _ in range(UNANSWERED):
+                for _ in range(MAX_UNANSWERED):
                     await asyncio.sleep(LOOK_S)
                     view = await self._site.view(node)
                     if view is not None:
                         break
                 else:
-                    raise Stopped(f"{node} does not answer any more")
+                    raise RolloutStoppedError(f"{node} does not answer any more")
             before = self._uptimes.get(node, 0.0)
             if view.own.uptime_s < before:
-                raise Stopped(f"{node} has ended and started anew by itself")
+                raise RolloutStoppedError(f"{node} has ended and started anew by itself")
             self._uptimes[node] = view.own.uptime_s
 
-    async def _until_well(
+    async def _wait_until_healthy(
         self, nodes: list[str], fresh: str | None, within_s: float, steady_s: float
     ) -> None:
         """Wait until nothing is wrong, for so long; Stopped with what is if it lasts. `fresh`: the
@@ -140,7 +151,7 @@
         until = self._clock.now() + within_s
         since: float | None = None
         while True:
-            wrong = await self._wrong(nodes, fresh)
+            wrong = await self._problem(nodes, fresh)
             now = self._clock.now()
             if wrong is None:
                 since = now if since is None else since
@@ -149,12 +160,12 @@
             else:
                 since = None
                 if now >= until:
-                    raise Stopped(wrong)
+                    raise RolloutStoppedError(wrong)
             await asyncio.sleep(LOOK_S)
 
-    async def _wrong(self, nodes: list[str], fresh: str | None) -> str | None:
+    async def _problem(self, nodes: list[str], fresh: str | None) -> str | None:
         """What keeps the site from being well, if anything."""
-        await self._same(nodes, fresh)
+        await self._check_others_unchanged(nodes, fresh)
         for node in nodes:
             view = await self._site.view(node)
             if view is None:
@@ -164,16 +175,16 @@
                 return f"{node} is {own.state}"
             if not own.caught_up:
                 return f"{node} does not follow the state service"
-            if own.heard < HEARD * own.machines:
-                return f"{node} hears {own.heard} of its {own.machines} machines"
+            if own.responsive_machines < RESPONSIVE_FRACTION * own.machines:
+                return f"{node} hears {own.responsive_machines} of its {own.machines} machines"
             for entry in view.controllers:
                 if entry.state != "acting":
                     return f"{entry.node} is {entry.state}, as {node} sees it"
-            if view.shares_without_actor:
-                return f"shares without an actor: {view.shares_without_actor}"
+            if view.shards_without_actor:
+                return f"shares without an actor: {view.shards_without_actor}"
             if view.leader is None:
                 return "nobody leads"
-            shares = {entry.node: len(entry.shares) for entry in view.controllers}
-            if not shares.get(node) and sum(shares.values()) >= len(nodes):
+            shards = {entry.node: len(entry.shards) for entry in view.controllers}
+            if not shards.get(node) and sum(shards.values()) >= len(nodes):
                 return f"{node} acts for no share yet"
         return None
--- a/badgerseam/runs/run_lifecycle.py
+++ b/badgerseam/runs/run_lifecycle.py
@@ -13,14 +13,14 @@
 import logging
 from collections.abc import Callable
 
-from badgerseam.cluster.membership import Member
+from badgerseam.cluster.membership import Membership
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY, run_key
 from badgerseam.model.model import Model
-from badgerseam.runs.counting import at_work, begun, count, through
-from badgerseam.runs.run_index import Book, PlanJobs
-from badgerseam.runs.windows import Slot, due
-from badgerseam.store.client import LeaseLost, Refused, Unavailable
-from badgerseam.store.committer import Committer, Dropped, Urgency
+from badgerseam.runs.counting import count, first_round_is_over, has_begun, has_running_members
+from badgerseam.runs.run_index import PlanJobs, RunIndex
+from badgerseam.runs.windows import RunWindow, due_window
+from badgerseam.store.client import ConditionFailedError, LeaseExpiredError, StateUnavailableError
+from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.runs")
@@ -31,15 +31,17 @@
 """A run that does not open keeps all of its members waiting: no longer behind ends of jobs."""
 
 
-class Keeper:
+class RunLifecycle:
     """Looks at each plan, on the leader, and writes the next phase of its run."""
 
-    def __init__(self, model: Model, member: Member, committer: Committer, book: Book) -> None:
+    def __init__(
+        self, model: Model, member: Membership, committer: GroupCommitter, book: RunIndex
+    ) -> None:
         self._model = model
         self._member = member
         self._committer = committer
         self._clock = model.clock
-        self.book = book
+        self.index = book
 
     async def keep(self) -> None:
         """Look for ever."""
@@ -49,14 +51,14 @@
 
     async def step(self) -> None:
         """One look at all plans."""
-        for plan in self.book.plans.values():
+        for plan in self.index.plans.values():
             with self._model.lock:
-                change = self._due(plan)
+                change = self._due_transition(plan)
             if change is None:
                 continue
             number, record = change
             if record.phase == "closed":
-                counts = await count(self._model, self.book, plan, number)
+                counts = await count(self._model, self.index, plan, number)
                 record = wire.StoredRun(
                     "closed",
                     record.opened,
@@ -65,8 +67,8 @@
                     record.by,
                     record.at,
                     record.cut,
-                    counts.seen,
-                    [counts.reckoned, counts.withdrawn, counts.unresolved],
+                    counts.jobs_counted,
+                    [counts.reckoned, counts.cancelled, counts.unresolved],
                     counts.reasons(),
                 )
             await self.write(plan, number, record, lambda: self._member.is_leader)
@@ -83,10 +85,14 @@
         model = self._model
         key = run_key(plan.plan.name, number)
         with model.lock:
-            leader = model.leader
-            if leader is None or not model.fits or number not in (plan.latest, plan.latest + 1):
+            leader = model.leader_claim
+            if (
+                leader is None
+                or not model.is_supported
+                or number not in (plan.latest, plan.latest + 1)
+            ):
                 return False
-            conditions = {LEADER_KEY: leader.version, LEVEL_KEY: model.site.version}
+            conditions = {LEADER_KEY: leader.version, LEVEL_KEY: model.level.version}
             if number > plan.latest:
                 conditions[key] = 0
                 if plan.latest:
@@ -98,18 +104,23 @@
             await self._committer.commit(
                 Urgency.DONE, conditions, [write], DEADLINE_S, wanted, HURRY_S
             )
-        except (Refused, Unavailable, Dropped, LeaseLost) as error:
+        except (
+            ConditionFailedError,
+            StateUnavailableError,
+            ProposalDroppedError,
+            LeaseExpiredError,
+        ) as error:
             log.info("run %s %d: %s not written: %r", plan.plan.name, number, record.phase, error)
             return False
-        log.info("run %s %d: %s%s", plan.plan.name, number, record.phase, _told(record))
+        log.info("run %s %d: %s%s", plan.plan.name, number, record.phase, _describe(record))
         return True
 
     # ---- what is due ----
 
-    def _due(self, plan: PlanJobs) -> tuple[int, wire.StoredRun] | None:
+    def _due_transition(self, plan: PlanJobs) -> tuple[int, wire.StoredRun] | None:
         """The number and the record that the plan needs now; the lock is held."""
         model = self._model
-        if not self._member.is_leader or not model.loaded or not self.book.active:
+        if not self._member.is_leader or not model.loaded or not self.index.is_active:
             return None
         wall = self._clock.wall()
         record, number = plan.record, plan.latest
@@ -124,16 +135,16 @@
             return number + 1, opened
         if record.phase == "closing":
             # Members accepted before the cut are counted: all up to it has to be known.
-            waits = at_work(plan, number) and wall < record.at + plan.plan.grace_s
+            waits = has_running_members(plan, number) and wall < record.at + plan.plan.grace_s
             if model.revision < plan.version or waits:
                 return None
             return number, self._next(record, "closed", plan.version)
-        if wall >= record.closes or self._quiet(plan, record, wall):
+        if wall >= record.closes or self._is_quiet(plan, record, wall):
             return number, self.closing(record)
-        if record.phase == "open" and begun(plan, number):
+        if record.phase == "open" and has_begun(plan, number):
             return number, self._next(record, "reckoning")
         if record.phase == "reckoning":
-            done, aside = through(self.book, plan, number)
+            done, aside = first_round_is_over(self.index, plan, number)
             if done and aside:
                 return number, self._next(record, "second")
         return None
@@ -146,23 +157,25 @@
         wall, node = round(self._clock.wall(), 3), self._member.node
         return wire.StoredRun(phase, record.opened, record.slot, record.closes, node, wall, cut)
 
-    def _opening(self, plan: PlanJobs, wall: float) -> Slot | None:
+    def _opening(self, plan: PlanJobs, wall: float) -> RunWindow | None:
         """When the plan's next run opens and closes, if that is to be opened now."""
         options, last = plan.plan, plan.record
-        ahead = None if options.after is None else self.book.plans[options.after]
-        if ahead is not None and self._busy(ahead, wall):
+        ahead = None if options.after is None else self.index.plans[options.after]
+        if ahead is not None and self._is_busy(ahead, wall):
             return None
         if options.quiet_s is None:
-            return due(options, wall, None if last is None else Slot(last.slot, last.closes))
-        if any(plan.number(job.place) > plan.latest for job in plan.all_jobs()):
-            return Slot(round(wall, 3), round(wall + options.longest_s, 3))
+            return due_window(
+                options, wall, None if last is None else RunWindow(last.slot, last.closes)
+            )
+        if any(plan.run_number(job.queue_position) > plan.latest for job in plan.all_jobs()):
+            return RunWindow(round(wall, 3), round(wall + options.longest_s, 3))
         return None
 
-    def _busy(self, plan: PlanJobs, wall: float) -> bool:
+    def _is_busy(self, plan: PlanJobs, wall: float) -> bool:
         """Whether a plan has a run that is not closed, or one to be opened now."""
-        return plan.open or self._opening(plan, wall) is not None
+        return plan.is_open or self._opening(plan, wall) is not None
 
-    def _quiet(self, plan: PlanJobs, record: wire.StoredRun, wall: float) -> bool:
+    def _is_quiet(self, plan: PlanJobs, record: wire.StoredRun, wall: float) -> bool:
         """Whether nobody has come for as long as the plan says, and all members are through."""
         quiet_s = plan.plan.quiet_s
         if quiet_s is None:
@@ -174,7 +187,7 @@
         return wall - max(latest, record.opened) >= quiet_s
 
 
-def _told(record: wire.StoredRun) -> str:
+def _describe(record: wire.StoredRun) -> str:
     if record.phase != "closed":
         return ""
     reckoned, withdrawn, unresolved = record.counts
--- a/badgerseam/runs/windows.py
+++ b/badgerseam/runs/windows.py
@@ -9,18 +9,18 @@
 
 from badgerseam.options.runs import Plan, minutes
 
-MOST_MISSED = 31
+MAX_MISSED_DAYS = 31
 """Days that are looked back on for windows that nobody was there for."""
 
 
-class Slot(NamedTuple):
+class RunWindow(NamedTuple):
     """A window of one day, as times of day in seconds since 1970."""
 
     opens: float
     closes: float
 
 
-def slots(plan: Plan, first: datetime.date, last: datetime.date) -> Iterator[Slot]:
+def windows(plan: Plan, first: datetime.date, last: datetime.date) -> Iterator[RunWindow]:
     """The windows that open on these days (by the plan's zone), in order.
 
     A time that a change of the clocks leaves out is the one after the gap; one that comes twice is
@@ -34,7 +34,7 @@
             closing = day
             if minutes(window.closes) <= minutes(window.opens):
                 closing += datetime.timedelta(days=1)
-            yield Slot(_at(day, window.opens, zone), _at(closing, window.closes, zone))
+            yield RunWindow(_at(day, window.opens, zone), _at(closing, window.closes, zone))
         day += datetime.timedelta(days=1)
 
 
@@ -43,7 +43,7 @@
     return datetime.datetime.combine(day, time, zone).timestamp()
 
 
-def due(plan: Plan, wall: float, before: Slot | None) -> Slot | None:
+def due_window(plan: Plan, wall: float, before: RunWindow | None) -> RunWindow | None:
     """The window for which a run is to be opened now, `before` being that of the latest run.
 
     After a run, every window that has opened since, the earliest first, those that nobody was
@@ -52,8 +52,8 @@
     if the options have changed meanwhile.
     """
     today = datetime.datetime.fromtimestamp(wall, ZoneInfo(plan.zone)).date()
-    days = MOST_MISSED if before is not None else 1
-    for slot in slots(plan, today - datetime.timedelta(days=days), today):
+    days = MAX_MISSED_DAYS if before is not None else 1
+    for slot in windows(plan, today - datetime.timedelta(days=days), today):
         if slot.opens > wall:
             break
         if before is None:
--- a/badgerseam/sched/planner.py
+++ b/badgerseam/sched/planner.py
@@ -12,7 +12,7 @@
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 from badgerseam.model.resources import NOTHING, Resources
-from badgerseam.model.state import Share
+from badgerseam.model.state import Shard
 from badgerseam.sched import pts
 from badgerseam.settings import Tunables
 
@@ -20,59 +20,59 @@
 
 SAVE_SLACK_S = 1.5
 """Between the end of a save and the start of the next task: a report, a launch, an image."""
-HOPEFUL = 0.5
+HOPEFUL_FRACTION = 0.5
 """The part of its estimate in which a task may well be done, estimates being as wrong as that."""
-LATE_S = 1e7
-AGES_AT = 0.5
+UNORDERED_S = 1e7
+AGING_FRACTION = 0.5
 """Part of the time in which a job should begin after which it ages."""
-FRONT_PART = 0.25
+OLDEST_JOB_FRACTION = 0.25
 """Part of the starts of low-priority work that the oldest job may take before others while it can
 still begin in time. Measured in a long burst: with half of them, fewer large jobs began whole in
 time than without any ageing, since young ones, which could have, waited as well."""
-LATE_PART = 0.1
+LATE_FRACTION = 0.1
 """The same of one that cannot any more."""
-FRONT_CREDIT = 64.0
+OLDEST_JOB_MAX_CREDIT = 64.0
 """Starts that may be saved up for it."""
-GATHER_S = 60.0
+GANG_GATHER_S = 60.0
 """How long room that frees is kept for an aged gang at most, before others have their turn."""
-MOST_STARTS = 400
+MAX_STARTS = 400
 """Tasks of a job planned at once, so that one of 100,000 does not hold the loop; more are planned
 in the next round, when these are on their way to be durable."""
 
 
-class ClassRules(Protocol):
+class ClassPolicy(Protocol):
     """What the plan asks of priority classes, if operators have declared any."""
 
-    def of(self, job: Job) -> int:
+    def effective_class(self, job: Job) -> int:
         """The job's class, the first one is 0."""
 
-    def bound(self, share: Share, snapshot: pts.Snapshot, leading: bool = False) -> None:
+    def reserve_capacity(self, shard: Shard, snapshot: pts.Snapshot, leading: bool = False) -> None:
         """Keep room from lower classes before a share is planned for."""
 
-    def planned(self, share: Share, snapshot: pts.Snapshot, result: pts.Plan) -> None:
+    def on_plan(self, shard: Shard, snapshot: pts.Snapshot, result: pts.Plan) -> None:
         """A plan is about to be carried out."""
 
-    def cautious(self) -> int | None:
+    def cautious_below(self) -> int | None:
         """The class below which the leader moves no machines now; None if it does for all."""
 
 
-class RunRules(Protocol):
+class RunPolicy(Protocol):
     """What the plan asks of reckoning runs, if operators have declared any."""
 
-    def held(self, job: Job) -> str | None:
+    def hold_reason(self, job: Job) -> str | None:
         """Why no more of the job's tasks start now; None if they may."""
 
-    def begin(self, share: int, now: float) -> None:
+    def begin_round(self, shard: int, now: float) -> None:
         """A round begins: `most` is asked for jobs of that share."""
 
-    def most(self, job: Job) -> int | None:
+    def max_starts(self, job: Job) -> int | None:
         """How many of the job's tasks may start in this round; None: as many as wait."""
 
-    def order(self, job: Job) -> float | None:
+    def order_time(self, job: Job) -> float | None:
         """In place of the time of day by which jobs of a rank are ordered, if a plan says so."""
 
 
-class ReplicaRules(Protocol):
+class ReplicaPolicy(Protocol):
     """What the plan asks of replicas that span machines, if operators have declared any."""
 
     def requests(self, job: Job, now: float) -> list[pts.Request]:
@@ -81,13 +81,13 @@
     def group(self, attempt: Attempt) -> tuple[int, int]:
         """The replica of such a job's attempt."""
 
-    def shielded(self, attempt: Attempt) -> bool:
+    def is_shielded(self, attempt: Attempt) -> bool:
         """Whether it is no victim of a claim, since its replica is not up as it is."""
 
-    def held(self, machine: Machine) -> Resources:
+    def reserved_on(self, machine: Machine) -> Resources:
         """Room that is kept on a machine for members that are to come."""
 
-    def carry_out(self, share: Share, plan: pts.Plan) -> None:
+    def carry_out(self, shard: Shard, plan: pts.Plan) -> None:
         """Place what the plan has placed whole, and evict replicas whole."""
 
 
@@ -99,9 +99,9 @@
         self.terms = TermsRules(model)
         self._clock: Clock = model.clock
         self._tunables = tunables
-        self.classes: ClassRules | None = None
-        self.runs: RunRules | None = None
-        self.replicas: ReplicaRules | None = None
+        self.classes: ClassPolicy | None = None
+        self.runs: RunPolicy | None = None
+        self.replicas: ReplicaPolicy | None = None
         self._waits: dict[str | None, float] = {}
         for objective in model.settings.params.objectives:
             if objective.kind in ("wait", "guarantee") and objective.within_s is not None:
@@ -113,44 +113,44 @@
         return min(stated, default=None)
 
     def snapshot(
-        self, share: Share, nodes: list[pts.Node], requests: list[pts.Request]
+        self, shard: Shard, nodes: list[pts.MachineSnapshot], requests: list[pts.Request]
     ) -> pts.Snapshot:
         """What PTS needs to know; pure data."""
         model = self._model
         teams = {
             index: pts.TeamUse(model.usage(index), team.guarantee, team.limit)
             for index, team in enumerate(model.teams)
-            if team.share == share.index
+            if team.shard == shard.index
         }
         return pts.Snapshot(
             nodes,
             requests,
             teams,
-            share.finished,
-            share.evicted,
+            shard.finished,
+            shard.evicted,
             self._tunables.beta,
             self._tunables.window_s,
             self._clock.now(),
             self.replicas is not None,
         )
 
-    def requests(self, share: Share) -> list[pts.Request]:
+    def requests(self, shard: Shard) -> list[pts.Request]:
         """The share's waiting work."""
         now = self._clock.now()
         if self.runs is not None:
-            self.runs.begin(share.index, now)
+            self.runs.begin_round(shard.index, now)
         requests: list[pts.Request] = []
-        for job in self._model.open_jobs[share.index].values():
-            if job.watch is not None and self.replicas is not None:
+        for job in self._model.open_jobs[shard.index].values():
+            if job.changed_tasks is not None and self.replicas is not None:
                 requests += self.replicas.requests(job, now)
             elif (request := self._request(job, now)) is not None:
                 requests.append(request)
-        front = self._front(share, requests)
+        front = self._oldest_request(shard, requests)
         if front is not None:
-            front.front = True
+            front.oldest_waiting = True
         return requests
 
-    def _front(self, share: Share, requests: list[pts.Request]) -> pts.Request | None:
+    def _oldest_request(self, shard: Shard, requests: list[pts.Request]) -> pts.Request | None:
         """The low-priority work that goes first because it has waited for longest, if any has for
         too long and others have had their turn.
 
@@ -159,107 +159,107 @@
         at a time, and for a part of the starts only: were all that is late to go first, nothing
         would be in time any more.
         """
-        if share.front_credit <= 0:
+        if shard.oldest_job_credit <= 0:
             return None
         model = self._model
         wall = model.clock.wall()
-        latest = wall - AGES_AT * self._tunables.begin_s
+        latest = wall - AGING_FRACTION * self._tunables.begin_s
         hopeless = wall - self._tunables.begin_s
         found: tuple[bool, int, pts.Request] | None = None
         for request in requests:
             job = model.jobs[request.job]
-            if request.rank >= HIGH_RANK or job is None or job.failing or job.submitted > latest:
+            if request.rank >= HIGH_RANK or job is None or job.is_failing or job.submitted > latest:
                 continue
             # What has been tried has begun: it was stopped, or lost, since.
             if len(job.tries) < job.tasks:
-                order = (job.submitted <= hopeless, job.place, request)
+                order = (job.submitted <= hopeless, job.queue_position, request)
                 if found is None or order[:2] < found[:2]:
                     found = order
         if found is None:
             return None
-        share.front_part = LATE_PART if found[0] else FRONT_PART
+        shard.oldest_job_fraction = LATE_FRACTION if found[0] else OLDEST_JOB_FRACTION
         return found[2]
 
-    def nodes(self, share: Share) -> list[pts.Node]:
+    def nodes(self, shard: Shard) -> list[pts.MachineSnapshot]:
         """The share's machines that take tasks now."""
         now = self._clock.now()
         return [
             self.node(machine, now)
-            for machine in self._model.fleets[share.index].values()
+            for machine in self._model.shard_machines[shard.index].values()
             if self.usable(machine, now)
         ]
 
     def usable(self, machine: Machine, now: float) -> bool:
         """Whether tasks may be placed on the machine now."""
-        return self.out_of_use(machine, now) is None
+        return self.unusable_reason(machine, now) is None
 
-    def out_of_use(self, machine: Machine, now: float) -> str | None:
+    def unusable_reason(self, machine: Machine, now: float) -> str | None:
         """Why no tasks may be placed on the machine now; None if they may."""
         if machine.dropped:
             return "released"
         if machine.lost:
             return "lost"
-        if machine.session == 0:
+        if machine.incarnation == 0:
             return "not_heard"
         if machine.draining:
             return "draining"
-        if machine.hard_of_hearing:
+        if machine.is_probably_unreachable:
             return "deaf"
         report_s = self._model.settings.params.workers.report_s
-        if machine.mute or now - machine.heard_at >= 3 * report_s + 0.5:
+        if machine.mute_incarnation or now - machine.last_heartbeat_at >= 3 * report_s + 0.5:
             return "silent"
-        if machine.failures >= 3:
+        if machine.push_failures >= 3:
             return "unreachable"
         if machine.total.cpus <= 0:
             return "unknown_type"
         return None
 
-    def node(self, machine: Machine, now: float) -> pts.Node:
+    def node(self, machine: Machine, now: float) -> pts.MachineSnapshot:
         """A machine as PTS sees it, made anew only when it has changed."""
         while machine.evictions and now - machine.evictions[0] > self._tunables.window_s:
             machine.evictions.popleft()
-        node = machine.node
+        node = machine.sched_view
         if node is None:
-            node = machine.node = self._build(machine)
+            node = machine.sched_view = self._build(machine)
         node.evictions = len(machine.evictions)
         return node
 
-    def _build(self, machine: Machine) -> pts.Node:
+    def _build(self, machine: Machine) -> pts.MachineSnapshot:
         entry = self._model.types.get(machine.type)
         high = low = 0.0
         running = []
-        used = machine.strays
+        used = machine.untracked_use
         for key, attempt in machine.attempts.items():
             if attempt.finishing or attempt.stopping:
                 continue
             job = attempt.job
-            used = used.plus(job.need)
+            used = used.plus(job.demand)
             important = job.rank >= HIGH_RANK
             if important:
-                high += pts.slots_of(job.need)
+                high += pts.slots_of(job.demand)
             else:
-                low += pts.slots_of(job.need)
+                low += pts.slots_of(job.demand)
             running.append(
-                pts.Running(
+                pts.RunningTask(
                     key,
-                    job.need,
+                    job.demand,
                     job.rank,
                     job.team,
                     attempt.started_at if attempt.stage >= Stage.RUNNING else None,
                     job.spec.checkpoint_s,
-                    attempt.stage >= Stage.FETCHING and attempt.stage != Stage.SAVING,
+                    attempt.stage >= Stage.FETCHING and attempt.stage != Stage.CHECKPOINTING,
                     important,
                     self.ends_at(attempt),
-                    job.service,
+                    job.is_service,
                     attempt.planned_at,
                 )
             )
-            if job.watch is not None and self.replicas is not None:
+            if job.changed_tasks is not None and self.replicas is not None:
                 running[-1].group = self.replicas.group(attempt)
-                running[-1].high = important or self.replicas.shielded(attempt)
+                running[-1].high = important or self.replicas.is_shielded(attempt)
         if self.replicas is not None:
-            used = used.plus(self.replicas.held(machine))
-        return pts.Node(
+            used = used.plus(self.replicas.reserved_on(machine))
+        return pts.MachineSnapshot(
             machine.index,
             machine.type,
             machine.zone,
@@ -276,40 +276,40 @@
 
     def ends_at(self, attempt: Attempt) -> float:
         """When the task should end, by its owner's estimate."""
-        if attempt.job.service:
+        if attempt.job.is_service:
             return math.inf
         return (attempt.started_at or attempt.planned_at) + attempt.job.spec.estimate_s
 
     def _request(self, job: Job, now: float) -> pts.Request | None:
-        if job.waiting() <= 0 or self.held_back(job, now) is not None:
+        if job.waiting() <= 0 or self.hold_reason(job, now) is not None:
             return None
         # One that fails wherever it runs: one task at a time tells when that changes.
-        count = 1 if job.failing and not job.gang else job.waiting()
+        count = 1 if job.is_failing and not job.is_gang else job.waiting()
         if job.spec.terms is not None:
-            most = self.terms.most(job)
+            most = self.terms.max_starts(job)
             count = count if most is None else min(count, most)
         if self.runs is not None:
-            most = self.runs.most(job)
+            most = self.runs.max_starts(job)
             count = count if most is None else min(count, most)
             if count <= 0:
                 return None
         return self.request(job, count)
 
-    def held_back(self, job: Job, now: float) -> str | None:
+    def hold_reason(self, job: Job, now: float) -> str | None:
         """Why no task of a job with waiting tasks is planned now; None if they are."""
         if job.phase != Phase.OPEN:
             return "ended"
         if job.spec.terms is not None:
-            held = self.terms.held(job)
+            held = self.terms.hold_reason(job)
             if held is not None:
                 return held
         if self.runs is not None:
-            held = self.runs.held(job)
+            held = self.runs.hold_reason(job)
             if held is not None:
                 return held
         if now < job.retry_at:
             return "backoff"
-        if job.failing and job.attempts:
+        if job.is_failing and job.attempts:
             return "failing"
         if job.next_idle() is None:
             return "unsettled"
@@ -320,18 +320,18 @@
         spec = job.spec
         deadline = math.inf if spec.deadline_s is None else job.submitted + spec.deadline_s
         order = job.submitted if job.rank >= HIGH_RANK else min(deadline, job.submitted + 1e6)
-        stated = None if self.runs is None else self.runs.order(job)
+        stated = None if self.runs is None else self.runs.order_time(job)
         order = order if stated is None else stated
-        if deadline < self._clock.wall() + HOPEFUL * spec.estimate_s:
+        if deadline < self._clock.wall() + HOPEFUL_FRACTION * spec.estimate_s:
             # Too late whatever is done: it goes behind what can still be in time.
-            order += LATE_S
+            order += UNORDERED_S
         return pts.Request(
             job.index,
-            count if job.gang else min(count, MOST_STARTS),
-            job.need,
+            count if job.is_gang else min(count, MAX_STARTS),
+            job.demand,
             job.rank,
             # One that fails everywhere is tried where there is room: nobody is stopped for that.
-            job.rank >= HIGH_RANK and not job.failing,
+            job.rank >= HIGH_RANK and not job.is_failing,
             job.team,
             job.types,
             spec.zone,
@@ -340,49 +340,49 @@
             spec.spot,
             spec.image,
             job.zones,
-            job.shuns(self._clock.now()),
+            job.machines_to_avoid(self._clock.now()),
             order,
-            job.gang,
+            job.is_gang,
             self.wait_s(job),
             spec.image_gb,
-            0 if self.classes is None else self.classes.of(job),
-            job.place,
+            0 if self.classes is None else self.classes.effective_class(job),
+            job.queue_position,
         )
 
-    def run(self, share: Share) -> dict[int, int]:
+    def run(self, shard: Shard) -> dict[int, int]:
         """Plan for a share and mark what is planned; the tasks that found no room, by job."""
         model = self._model
-        requests = self.requests(share)
+        requests = self.requests(shard)
         if not requests:
             return {}
         now = self._clock.now()
-        snapshot = self.snapshot(share, self.nodes(share), requests)
+        snapshot = self.snapshot(shard, self.nodes(shard), requests)
         if self.classes is not None:
-            self.classes.bound(share, snapshot)
+            self.classes.reserve_capacity(shard, snapshot)
         result = pts.plan(snapshot)
         if self.classes is not None:
-            self.classes.planned(share, snapshot, result)
-        self._count_front(share, requests, result, now)
+            self.classes.on_plan(shard, snapshot, result)
+        self._count_oldest(shard, requests, result, now)
         for stop in result.stops:
             job = model.jobs[stop.key[0]]
             assert job is not None
             attempt = job.attempts[stop.key[1]]
             self.stop(attempt, stop.wait_s)
             attempt.cost = stop.cost
-            claimant = model.jobs[stop.by]
+            claimant = model.jobs[stop.preempted_by]
             attempt.evicted_for = None if claimant is None else claimant.id
             attempt.machine.evictions.append(now)
             log.debug("evicting %s at cost %.4f", attempt.name, stop.cost)
-            share.evicted += 1
+            shard.evicted += 1
         if result.stops:
             log.info(
                 "share %d: evicting %d tasks, at a cost of %.4f at most",
-                share.index,
+                shard.index,
                 len(result.stops),
                 max(stop.cost for stop in result.stops),
             )
         if self.replicas is not None:
-            self.replicas.carry_out(share, result)
+            self.replicas.carry_out(shard, result)
         for start in result.starts:
             job = model.jobs[start.job]
             assert job is not None
@@ -395,24 +395,24 @@
             machine.idle_since = now
         return result.waiting
 
-    def _count_front(
-        self, share: Share, requests: list[pts.Request], result: pts.Plan, now: float
+    def _count_oldest(
+        self, shard: Shard, requests: list[pts.Request], result: pts.Plan, now: float
     ) -> None:
         """Share the starts of low-priority work between the oldest job and the others."""
-        front = next((request for request in requests if request.front), None)
+        front = next((request for request in requests if request.oldest_waiting), None)
         low = {request.job for request in requests if request.rank < HIGH_RANK}
         for start in result.starts:
             if front is not None and start.job == front.job:
-                share.front_credit -= 1.0 / share.front_part - 1.0
+                shard.oldest_job_credit -= 1.0 / shard.oldest_job_fraction - 1.0
             elif start.job in low:
-                share.front_credit = min(share.front_credit + 1.0, FRONT_CREDIT)
-        if front is None or front.job != share.front:
-            share.front = None if front is None else front.job
-            share.front_since = now
-        elif front.gathers and now - share.front_since > GATHER_S:
+                shard.oldest_job_credit = min(shard.oldest_job_credit + 1.0, OLDEST_JOB_MAX_CREDIT)
+        if front is None or front.job != shard.oldest_job:
+            shard.oldest_job = None if front is None else front.job
+            shard.oldest_job_since = now
+        elif front.gathers_capacity and now - shard.oldest_job_since > GANG_GATHER_S:
             # It may never fit: others go on until as many of them have started.
-            share.front_credit = -FRONT_CREDIT
-            share.front = None
+            shard.oldest_job_credit = -OLDEST_JOB_MAX_CREDIT
+            shard.oldest_job = None
 
     def stop(self, attempt: Attempt, wait_s: float | None = None) -> None:
         """Have an attempt stopped, with time to save if its task can and nobody is kept waiting.
@@ -421,19 +421,19 @@
         """
         spec = attempt.job.spec
         attempt.stopping = True
-        attempt.job.touch(attempt.task)
-        attempt.machine.node = None
+        attempt.job.mark_changed(attempt.task)
+        attempt.machine.sched_view = None
         attempt.stop_sent = False
         saves = spec.checkpoint_s > 0 and (wait_s is None or spec.save_s + SAVE_SLACK_S < wait_s)
         attempt.grace_s = spec.save_s + 1.0 if saves else 0.0
-        self._model.pushes.add(attempt.machine.index)
+        self._model.machines_to_push.add(attempt.machine.index)
 
-    def free_of_work(self, machine: Machine) -> bool:
+    def is_free_of_work(self, machine: Machine) -> bool:
         """Whether nothing can be on the machine and nothing is meant for it."""
         return (
             not machine.attempts
-            and machine.strays == NOTHING
-            and not machine.busy
+            and machine.untracked_use == NOTHING
+            and not machine.command_in_flight
             # An empty machine that a move has reserved was passed on before it was taken.
-            and (self.replicas is None or self.replicas.held(machine) == NOTHING)
+            and (self.replicas is None or self.replicas.reserved_on(machine) == NOTHING)
         )
--- a/badgerseam/sched/pts.py
+++ b/badgerseam/sched/pts.py
@@ -18,24 +18,24 @@
 
 from badgerseam.sched import gang_placement
 from badgerseam.sched.snapshot import (
-    Node,
+    MachineSnapshot,
     Plan,
     Request,
-    Running,
+    RunningTask,
     Snapshot,
-    Start,
-    Stop,
+    TaskStart,
+    TaskStop,
     TeamUse,
     slots_of,
 )
 from badgerseam.sched.tentative_state import (
-    Bench,
-    allowed,
-    barred,
+    TentativeState,
+    evict_tentatively,
     eviction_cost,
+    failed_job_predicates,
+    job_rules_allow,
+    place_tentatively,
     position_of,
-    pretend_evicted,
-    pretend_taken,
     victims_on,
 )
 
@@ -55,21 +55,21 @@
 
     Without `evict` it is only asked what finds room at all, however late it would start there.
     """
-    bench = Bench(snapshot, evict)
-    turns = _Turns(bench)
-    if any(request.klass for request in snapshot.requests):
+    bench = TentativeState(snapshot, evict)
+    turns = _PlacementRound(bench)
+    if any(request.priority_class for request in snapshot.requests):
         _by_class(turns, snapshot.requests)
         return bench.result
-    for request in in_order(bench, snapshot.requests):
+    for request in placement_order(bench, snapshot.requests):
         turns.place(request)
     return bench.result
 
 
 @dataclass(slots=True)
-class _Turns:
+class _PlacementRound:
     """Requests that get their turn one after the other."""
 
-    bench: Bench
+    bench: TentativeState
     gathering: bool = False
     """Room is kept for a gang that has aged."""
 
@@ -81,39 +81,43 @@
             self.bench.result.waiting[request.job] = request.count
             return 0
         placed = place(self.bench, request)
-        if request.gathers and not placed and self.bench.within_limit(request):
+        if request.gathers_capacity and not placed and self.bench.within_limit(request):
             self.gathering = True
         return placed
 
 
-def in_order(bench: Bench, requests: list[Request]) -> list[Request]:
+def placement_order(bench: TentativeState, requests: list[Request]) -> list[Request]:
     """The order in which requests get their turn."""
-    return sorted(requests, key=lambda request: _turn(request, bench.claims(request)))
+    return sorted(
+        requests, key=lambda request: _order_key(request, bench.within_guarantee(request))
+    )
 
 
-def _turn(request: Request, claims: bool) -> tuple[float, ...]:
+def _order_key(request: Request, claims: bool) -> tuple[float, ...]:
     return (
-        -(LAST_LOW if request.front else request.rank),
+        -(LAST_LOW if request.oldest_waiting else request.rank),
         # Towards a team that borrows, one that claims its own is of high priority: behind the
         # other, it would evict again and again what had just been placed.
         not claims,
-        request.klass,
-        not request.front,
+        request.priority_class,
+        not request.oldest_waiting,
         request.order,
-        -slots_of(request.need),
-        request.place,
+        -slots_of(request.demand),
+        request.queue_position,
         request.job,
     )
 
 
-def _by_class(turns: _Turns, requests: list[Request]) -> None:
+def _by_class(turns: _PlacementRound, requests: list[Request]) -> None:
     """Place what is of several priority classes.
 
     A claim goes before higher classes for as much as its team's guarantee covers when its turn
     comes, and no further: one task within it took a whole array of hundreds to the front.
     """
     bench = turns.bench
-    queue = [(_turn(request, bench.claims(request)), request) for request in requests]
+    queue = [
+        (_order_key(request, bench.within_guarantee(request)), request) for request in requests
+    ]
     heapq.heapify(queue)
     while queue:
         turn, request = heapq.heappop(queue)
@@ -121,11 +125,11 @@
             turns.place(request)
             continue
         team = bench.teams[request.team]
-        count = min(request.count, request.need.times_in(team.guarantee.minus(team.used)))
+        count = min(request.count, request.demand.count_in(team.guarantee.minus(team.used)))
         if request.gang and count > 0:
             count = request.count
         if count <= 0:
-            heapq.heappush(queue, (_turn(request, False), request))
+            heapq.heappush(queue, (_order_key(request, False), request))
             continue
         before = len(bench.result.starts)
         placed = turns.place(replace(request, count=count))
@@ -133,23 +137,23 @@
             if request.job in bench.result.waiting:
                 bench.result.waiting[request.job] = request.count - placed
         elif placed < request.count:
-            zones = dict(request.zones)
+            zones = dict(request.zone_counts)
             zone_of = {node.index: node.zone for node in bench.nodes}
             for start in bench.result.starts[before:]:
                 zone = zone_of[start.node]
                 zones[zone] = zones.get(zone, 0) + 1
-            rest = replace(request, count=request.count - placed, zones=zones)
-            heapq.heappush(queue, (_turn(rest, False), rest))
+            rest = replace(request, count=request.count - placed, zone_counts=zones)
+            heapq.heappush(queue, (_order_key(rest, False), rest))
 
 
-Look = Callable[[dict[str, int], int], None]
+OnUnplaced = Callable[[dict[str, int], int], None]
 """Is shown the zones of a job's tasks, and how many of the request are placed, where the next one
 found no room; before a gang is taken back."""
 
 
-def place(bench: Bench, request: Request, look: Look | None = None) -> int:
+def place(bench: TentativeState, request: Request, look: OnUnplaced | None = None) -> int:
     """Place as many tasks of a request as fit; of a gang, all or none. How many were placed."""
-    if request.span is not None:
+    if request.gang_rules is not None:
         return gang_placement.place(bench, request, _score, look)
     placed = _place(bench, request, look)
     if placed < request.count and bench.within_limit(request):
@@ -158,48 +162,48 @@
 
 
 @dataclass(slots=True)
-class _Step:
+class _PlacedTask:
     """One task placed, so that a gang that does not fit whole can be taken back."""
 
     position: int
-    victims: list[tuple[Running, float]]
+    victims: list[tuple[RunningTask, float]]
 
 
-def _place(bench: Bench, request: Request, look: Look | None) -> int:
+def _place(bench: TentativeState, request: Request, look: OnUnplaced | None) -> int:
     if request.count <= 0:
         return 0
-    if bench.hopeless(request):
+    if bench.is_hopeless(request):
         if look is not None:
-            look(request.zones, 0)
+            look(request.zone_counts, 0)
         return 0
-    steps: list[_Step] = []
-    zones = dict(request.zones)
+    steps: list[_PlacedTask] = []
+    zones = dict(request.zone_counts)
     team = bench.teams[request.team]
     candidates = _Candidates(bench, request, zones)
     while len(steps) < request.count and bench.within_limit(request):
         position, victims = candidates.choose()
         if position is None:
-            if request.plain and not request.gang:
+            if request.is_plain and not request.gang:
                 bench.full.append(request)
             break
         for victim, _ in victims:
-            pretend_evicted(bench, position_of(bench, victim, position), victim, 1)
-        pretend_taken(bench, position, request, zones, 1)
-        team.used = team.used.plus(request.need)
+            evict_tentatively(bench, position_of(bench, victim, position), victim, 1)
+        place_tentatively(bench, position, request, zones, 1)
+        team.used = team.used.plus(request.demand)
         candidates.update(position)
         if victims and bench.groups is not None:
-            for other in bench.groups.beside(position, victims):
+            for other in bench.groups.other_positions(position, victims):
                 candidates.update(other)
-        steps.append(_Step(position, victims))
+        steps.append(_PlacedTask(position, victims))
     if look is not None and len(steps) < request.count:
         look(zones, len(steps))
     if request.gang and len(steps) < request.count:
         # All pods are planned before any stop; one that fails leaves everything as it was.
         for step in reversed(steps):
-            team.used = team.used.minus(request.need)
-            pretend_taken(bench, step.position, request, zones, -1)
+            team.used = team.used.minus(request.demand)
+            place_tentatively(bench, step.position, request, zones, -1)
             for victim, _ in reversed(step.victims):
-                pretend_evicted(bench, position_of(bench, victim, step.position), victim, -1)
+                evict_tentatively(bench, position_of(bench, victim, step.position), victim, -1)
         return 0
     if steps:
         # What a team has beyond its guarantee has grown: another may claim it now.
@@ -209,13 +213,13 @@
             # Their room may serve requests that found none before.
             bench.full.clear()
         bench.result.stops += [
-            Stop(victim.key, cost, request.wait_s, request.job) for victim, cost in step.victims
+            TaskStop(victim.key, cost, request.wait_s, request.job) for victim, cost in step.victims
         ]
-        bench.result.starts.append(Start(request.job, bench.nodes[step.position].index))
+        bench.result.starts.append(TaskStart(request.job, bench.nodes[step.position].index))
     return len(steps)
 
 
-class _Pool:
+class _CandidatePool:
     """Machines with room for a task of a request, best first.
 
     Machines of one score are kept by zone: a fleet of hundreds holds many that are alike, empty
@@ -230,9 +234,9 @@
         """Of each score and zone a heap of positions; what was scored anew is left in it."""
         self._score: dict[int, tuple[float, ...]] = {}
 
-    def put(self, position: int, node: Node) -> None:
+    def put(self, position: int, node: MachineSnapshot) -> None:
         """Add a machine, or score it anew; one without room is dropped."""
-        if not self._request.need.fits(node.free):
+        if not self._request.demand.fits_in(node.free):
             self._score.pop(position, None)
             return
         score = _score(node, self._request)
@@ -245,7 +249,7 @@
             heapq.heappush(self._scores, score)
         heapq.heappush(zones.setdefault(node.zone, []), position)
 
-    def choose(self, nodes: list[Node], zones: dict[str, int]) -> int | None:
+    def choose(self, nodes: list[MachineSnapshot], zones: dict[str, int]) -> int | None:
         """The best machine that the job's own rules allow, or None."""
         while self._scores:
             score = self._scores[0]
@@ -258,7 +262,9 @@
                     heapq.heappop(positions)
                 # Of the job's rules only those on zones depend on what has been placed, and where
                 # a zone is full, or not the job's, that does not change any more.
-                if not positions or barred(self._request, nodes[positions[0]], zones):
+                if not positions or failed_job_predicates(
+                    self._request, nodes[positions[0]], zones
+                ):
                     del alike[zone]
                     continue
                 # Left open by the design: spread over zones.
@@ -280,28 +286,30 @@
     or else likely.
     """
 
-    def __init__(self, bench: Bench, request: Request, zones: dict[str, int]) -> None:
+    def __init__(self, bench: TentativeState, request: Request, zones: dict[str, int]) -> None:
         self._bench = bench
         self._request = request
         self._zones = zones
         # By how surely the start will be in time; the last takes any machine.
         graded = bench.evict and request.wait_s is not None
-        self._pools = [_Pool(request) for _ in range(GRADES if graded else 1)]
+        self._pools = [_CandidatePool(request) for _ in range(GRADES if graded else 1)]
         self._may_evict = bench.evict
-        self._victims: dict[int, tuple[list[Running], float]] | None = None
+        self._victims: dict[int, tuple[list[RunningTask], float]] | None = None
         """What may be evicted, by position: the victims and their waste."""
-        for position in bench.roomy:
+        for position in bench.with_free_capacity:
             node = bench.nodes[position]
-            if node.index in request.shunned or barred(request, node, zones):
+            if node.index in request.avoided_machines or failed_job_predicates(
+                request, node, zones
+            ):
                 continue
             self._put(position, node)
 
-    def _put(self, position: int, node: Node) -> None:
+    def _put(self, position: int, node: MachineSnapshot) -> None:
         grade = self._grade(node)
         for pool in self._pools[grade:]:
             pool.put(position, node)
 
-    def _grade(self, node: Node) -> int:
+    def _grade(self, node: MachineSnapshot) -> int:
         return start_grade(self._request, node) if len(self._pools) > 1 else 0
 
     def update(self, position: int) -> None:
@@ -312,7 +320,7 @@
             self._victims.pop(position, None)
             self._consider(position, node)
 
-    def choose(self) -> tuple[int | None, list[tuple[Running, float]]]:
+    def choose(self) -> tuple[int | None, list[tuple[RunningTask, float]]]:
         """A machine for one task, and the victims it takes."""
         nodes = self._bench.nodes
         for grade, pool in enumerate(self._pools):
@@ -325,17 +333,17 @@
                     return position, victims
         return None, []
 
-    def _consider(self, position: int, node: Node) -> None:
+    def _consider(self, position: int, node: MachineSnapshot) -> None:
         assert self._victims is not None
         found = victims_on(self._bench, node, self._request)
         if found:
             now = self._bench.now
             self._victims[position] = found, sum(victim.waste(now) for victim in found)
 
-    def _cheapest(self, grade: int) -> tuple[int | None, list[tuple[Running, float]]]:
+    def _cheapest(self, grade: int) -> tuple[int | None, list[tuple[RunningTask, float]]]:
         """The machine on which room costs least, and the victims there."""
         bench, request = self._bench, self._request
-        if not request.high and not bench.lends(request):
+        if not request.high and not bench.others_exceed_guarantee(request):
             self._may_evict = False
             return None, []
         if self._victims is None or not request.high:
@@ -344,8 +352,8 @@
             for position, node in enumerate(bench.nodes):
                 if (
                     node.running
-                    and node.index not in request.shunned
-                    and not barred(request, node, self._zones)
+                    and node.index not in request.avoided_machines
+                    and not failed_job_predicates(request, node, self._zones)
                 ):
                     self._consider(position, node)
         best: int | None = None
@@ -354,7 +362,7 @@
             node = bench.nodes[position]
             if self._grade(node) > grade:
                 continue
-            if barred(request, node, self._zones):
+            if failed_job_predicates(request, node, self._zones):
                 continue
             cost = eviction_cost(bench, len(victims), waste)
             if best is None or (cost, position) < (best_cost, best):
@@ -364,7 +372,7 @@
         return best, [(victim, best_cost) for victim in self._victims[best][0]]
 
 
-def start_grade(request: Request, node: Node) -> int:
+def start_grade(request: Request, node: MachineSnapshot) -> int:
     """How surely a task would start in the time that is asked for: 0 surely, 1 likely, 2 not."""
     if request.wait_s is None or request.image in node.images:
         return 0
@@ -376,12 +384,12 @@
     return len(FETCH_FACTORS)
 
 
-def _score(node: Node, request: Request) -> tuple[float, ...]:
+def _score(node: MachineSnapshot, request: Request) -> tuple[float, ...]:
     """The paper's three scores, negated, since heaps give the least first."""
     slots = node.slots or 1.0
     return (
         node.idle_slots / slots,
-        -(node.high if request.high else node.low) / slots,
+        -(node.high_slots if request.high else node.low_slots) / slots,
         float(-node.evictions if request.high else node.evictions),
         # Left open by the design: the image is there.
         0.0 if request.image in node.images else 1.0,
@@ -390,17 +398,17 @@
 
 __all__ = [
     "GRADES",
-    "Node",
+    "MachineSnapshot",
     "Plan",
     "Request",
-    "Running",
+    "RunningTask",
     "Snapshot",
-    "Start",
-    "Stop",
+    "TaskStart",
+    "TaskStop",
     "TeamUse",
-    "allowed",
-    "in_order",
+    "job_rules_allow",
     "place",
+    "placement_order",
     "plan",
     "slots_of",
     "start_grade",
--- a/badgerseam/sched/snapshot.py
+++ b/badgerseam/sched/snapshot.py
@@ -9,11 +9,11 @@
 
 
 @dataclass(slots=True)
-class Running:
+class RunningTask:
     """Work on a machine that may be a victim."""
 
     key: tuple[int, int]
-    need: Resources
+    demand: Resources
     rank: int
     team: int
     since: float | None
@@ -35,11 +35,11 @@
         ran = now - self.since
         if self.checkpoint_s > 0:
             ran = math.fmod(ran, self.checkpoint_s)
-        return slots_of(self.need) * ran
+        return slots_of(self.demand) * ran
 
 
 @dataclass(slots=True)
-class Node:
+class MachineSnapshot:
     """A machine that takes tasks."""
 
     index: int
@@ -48,25 +48,25 @@
     spot: bool
     total: Resources
     free: Resources
-    high: float
+    high_slots: float
     """Slots of high-priority work."""
-    low: float
+    low_slots: float
     evictions: int
     images: set[str]
-    running: list[Running] = field(default_factory=list)
+    running: list[RunningTask] = field(default_factory=list)
     fetch_gb_per_s: float = 1.0
 
-    def copy(self) -> Node:
+    def copy(self) -> MachineSnapshot:
         """The same machine, to be changed by a plan."""
-        return Node(
+        return MachineSnapshot(
             self.index,
             self.type,
             self.zone,
             self.spot,
             self.total,
             self.free,
-            self.high,
-            self.low,
+            self.high_slots,
+            self.low_slots,
             self.evictions,
             self.images,
             list(self.running),
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
+class GangRules:
     """Rules of a replica that spans machines, for those of its tasks that need room."""
 
     number: int
@@ -94,9 +94,9 @@
     """Machines that the whole replica spans."""
     same_zone: bool = True
     same_type: bool = False
-    kept: tuple[tuple[int, str, str], ...] = ()
+    reserved: tuple[tuple[int, str, str], ...] = ()
     """Machine, zone and type of each member that stays where it is."""
-    holds: tuple[int, ...] = ()
+    reserved_positions: tuple[int, ...] = ()
     """Machines on which room for a task is kept from others, once for each task."""
     seek: bool = False
     """The tasks run: their new room is only reserved, and nothing more is used meanwhile."""
@@ -114,7 +114,7 @@
 
     job: int
     count: int
-    need: Resources
+    demand: Resources
     rank: int
     high: bool
     team: int
@@ -125,9 +125,9 @@
     """Most tasks of the job that may be in one zone."""
     spot: bool
     image: str
-    zones: dict[str, int]
+    zone_counts: dict[str, int]
     """Where tasks of the job are, or may be."""
-    shunned: set[int]
+    avoided_machines: set[int]
     order: float
     """Less goes first within a rank."""
     gang: bool = False
@@ -135,31 +135,31 @@
     wait_s: float | None = None
     """How soon the operator wants its tasks started."""
     image_gb: float = 0.0
-    klass: int = 0
+    priority_class: int = 0
     """Priority class, the first one is 0: less goes first within a rank, behind claims to
     guarantees."""
-    place: int = 0
+    queue_position: int = 0
     """In the queue, given at acceptance: decides between what is alike otherwise."""
-    front: bool = False
+    oldest_waiting: bool = False
     """It has waited for so long that it goes before other low-priority work, whatever its rank."""
 
     @property
-    def gathers(self) -> bool:
+    def gathers_capacity(self) -> bool:
         """Room that frees is kept for it until all of it fits."""
-        return self.front and self.gang
+        return self.oldest_waiting and self.gang
 
-    span: Span | None = None
+    gang_rules: GangRules | None = None
     """Its tasks are those of one replica that need room: all are placed, or none."""
 
     @property
-    def plain(self) -> bool:
+    def is_plain(self) -> bool:
         """Nothing but its size and its rank decides where it may go."""
         return (
             self.types is None
             and self.zone is None
             and not self.one_zone
             and self.zone_limit is None
-            and not self.shunned
+            and not self.avoided_machines
         )
 
 
@@ -171,24 +171,24 @@
     """What its tasks take once the victims of this plan have left."""
     guarantee: Resources
     limit: Resources
-    leaving: Resources = NOTHING
+    draining: Resources = NOTHING
     """What the victims of this plan take until they have left: a limit holds for what is on
     machines, and a victim may save its work, hang, or be out of reach for a whole lease."""
 
     def allows(self, need: Resources) -> bool:
         """Whether so much more stays within the limit."""
-        return self.used.plus(self.leaving).plus(need).fits(self.limit)
+        return self.used.plus(self.draining).plus(need).fits_in(self.limit)
 
-    def room(self) -> Resources:
+    def headroom(self) -> Resources:
         """What the limit leaves."""
-        return self.limit.minus(self.used).minus(self.leaving)
+        return self.limit.minus(self.used).minus(self.draining)
 
 
 @dataclass(slots=True)
 class Snapshot:
     """What a plan starts from; planning changes none of it."""
 
-    nodes: list[Node]
+    nodes: list[MachineSnapshot]
     requests: list[Request]
     teams: dict[int, TeamUse]
     finished: int
@@ -201,13 +201,13 @@
 
 
 @dataclass(slots=True)
-class Start:
+class TaskStart:
     job: int
     node: int
 
 
 @dataclass(slots=True)
-class Whole:
+class GangStart:
     """A replica's tasks, or those of them that need room, placed together."""
 
     job: int
@@ -220,24 +220,24 @@
 
 
 @dataclass(slots=True)
-class Stop:
+class TaskStop:
     key: tuple[int, int]
     cost: float
     """Of the machine's victims together."""
     wait_s: float | None
     """How soon the work that needs the room should start."""
-    by: int = -1
+    preempted_by: int = -1
     """The job that needs it."""
 
 
 @dataclass(slots=True)
 class Plan:
-    starts: list[Start] = field(default_factory=list)
-    stops: list[Stop] = field(default_factory=list)
-    wholes: list[Whole] = field(default_factory=list)
+    starts: list[TaskStart] = field(default_factory=list)
+    stops: list[TaskStop] = field(default_factory=list)
+    gang_starts: list[GangStart] = field(default_factory=list)
     waiting: dict[int, int] = field(default_factory=dict)
     """Tasks a job that found no room (those over a team's limit are not counted)."""
-    nodes: list[Node] = field(default_factory=list)
+    nodes: list[MachineSnapshot] = field(default_factory=list)
     """The snapshot's machines, in its order, as they are after the plan."""
     teams: dict[int, TeamUse] = field(default_factory=dict)
 
--- a/badgerseam/sched/tentative_state.py
+++ b/badgerseam/sched/tentative_state.py
@@ -10,19 +10,19 @@
 from functools import partial
 
 from badgerseam.model.resources import NOTHING, Resources, least_of
-from badgerseam.sched.gang_eviction import Groups
+from badgerseam.sched.gang_eviction import EvictionGroups
 from badgerseam.sched.snapshot import (
-    Node,
+    MachineSnapshot,
     Plan,
     Request,
-    Running,
+    RunningTask,
     Snapshot,
     TeamUse,
     slots_of,
 )
 
 
-class Bench:
+class TentativeState:
     """The machines and teams as a plan changes them."""
 
     def __init__(self, snapshot: Snapshot, evict: bool) -> None:
@@ -35,26 +35,26 @@
         self.total_slots = sum(node.slots for node in snapshot.nodes) or 1.0
         self.nodes = list(snapshot.nodes)
         self.teams = {
-            index: TeamUse(team.used, team.guarantee, team.limit, team.leaving)
+            index: TeamUse(team.used, team.guarantee, team.limit, team.draining)
             for index, team in snapshot.teams.items()
         }
         self.result = Plan(nodes=self.nodes, teams=self.teams)
         self._own: set[int] = set()
-        self._least = least_of(request.need for request in snapshot.requests)
-        self.roomy = {
+        self._least = least_of(request.demand for request in snapshot.requests)
+        self.with_free_capacity = {
             position: None
             for position, node in enumerate(self.nodes)
-            if self._least.fits(node.free)
+            if self._least.fits_in(node.free)
         }
         """Positions of the machines with room for the smallest request."""
         self.full: list[Request] = []
         """Requests that found no room: what takes no less finds none either."""
         self.changes = 0
         """Counts what was pretended; between two equal counts nothing has changed."""
-        self.groups = Groups(self.nodes) if snapshot.grouped else None
+        self.groups = EvictionGroups(self.nodes) if snapshot.grouped else None
         """Replicas that span machines; None if there are none."""
 
-    def node(self, position: int) -> Node:
+    def node(self, position: int) -> MachineSnapshot:
         """A machine that may be changed: the snapshot's own is left alone."""
         if position not in self._own:
             self._own.add(position)
@@ -64,31 +64,31 @@
     def changed(self, position: int) -> None:
         """A machine's room has changed, and with it what its team uses."""
         self.changes += 1
-        if self._least.fits(self.nodes[position].free):
-            if position not in self.roomy:
-                self.roomy[position] = None
+        if self._least.fits_in(self.nodes[position].free):
+            if position not in self.with_free_capacity:
+                self.with_free_capacity[position] = None
         else:
-            self.roomy.pop(position, None)
+            self.with_free_capacity.pop(position, None)
 
     def within_limit(self, request: Request) -> bool:
-        return self.teams[request.team].allows(request.need)
+        return self.teams[request.team].allows(request.demand)
 
-    def claims(self, request: Request) -> bool:
+    def within_guarantee(self, request: Request) -> bool:
         """Whether a task of the request is within its team's guarantee."""
         own = self.teams[request.team]
-        return own.used.plus(request.need).fits(own.guarantee)
+        return own.used.plus(request.demand).fits_in(own.guarantee)
 
-    def lends(self, request: Request) -> bool:
+    def others_exceed_guarantee(self, request: Request) -> bool:
         """Whether another team has anything that the request's team may claim."""
-        return self.claims(request) and any(
-            index != request.team and not team.used.fits(team.guarantee)
+        return self.within_guarantee(request) and any(
+            index != request.team and not team.used.fits_in(team.guarantee)
             for index, team in self.teams.items()
         )
 
-    def hopeless(self, request: Request) -> bool:
+    def is_hopeless(self, request: Request) -> bool:
         """Whether a request like this one, and no larger, has found no room."""
         return any(
-            other.need.fits(request.need)
+            other.demand.fits_in(request.demand)
             and other.rank >= request.rank
             and other.high >= request.high
             and other.team == request.team
@@ -97,7 +97,7 @@
         )
 
 
-def position_of(bench: Bench, victim: Running, position: int) -> int:
+def position_of(bench: TentativeState, victim: RunningTask, position: int) -> int:
     """Where a victim is that is evicted for room at a position: there, or, as a member of a
     replica, on another of its machines."""
     if victim.group is None or bench.groups is None:
@@ -105,40 +105,40 @@
     return bench.groups.at(victim)
 
 
-def pretend_evicted(bench: Bench, position: int, victim: Running, sign: int) -> None:
+def evict_tentatively(bench: TentativeState, position: int, victim: RunningTask, sign: int) -> None:
     """Pretend that a victim has left its machine, or (-1) that it came back."""
     node = bench.node(position)
     other = bench.teams[victim.team]
     if sign > 0:
         node.running.remove(victim)
-        node.free = node.free.plus(victim.need)
-        other.used = other.used.minus(victim.need)
+        node.free = node.free.plus(victim.demand)
+        other.used = other.used.minus(victim.demand)
         # Only its guarantee counts as given back: the victim is on its machine until it has gone.
-        other.leaving = other.leaving.plus(victim.need)
+        other.draining = other.draining.plus(victim.demand)
     else:
         node.running.append(victim)
-        node.free = node.free.minus(victim.need)
-        other.used = other.used.plus(victim.need)
-        other.leaving = other.leaving.minus(victim.need)
-    node.low -= sign * slots_of(victim.need)
+        node.free = node.free.minus(victim.demand)
+        other.used = other.used.plus(victim.demand)
+        other.draining = other.draining.minus(victim.demand)
+    node.low_slots -= sign * slots_of(victim.demand)
     node.evictions += sign
     bench.evicted += sign
     bench.changed(position)
 
 
-def pretend_taken(
-    bench: Bench, position: int, request: Request, zones: dict[str, int], sign: int
+def place_tentatively(
+    bench: TentativeState, position: int, request: Request, zones: dict[str, int], sign: int
 ) -> None:
     """Pretend that a task of the request is on a machine, or (-1) that it is not."""
     node = bench.node(position)
     if sign > 0:
-        node.free = node.free.minus(request.need)
+        node.free = node.free.minus(request.demand)
     else:
-        node.free = node.free.plus(request.need)
+        node.free = node.free.plus(request.demand)
     if request.high:
-        node.high += sign * slots_of(request.need)
+        node.high_slots += sign * slots_of(request.demand)
     else:
-        node.low += sign * slots_of(request.need)
+        node.low_slots += sign * slots_of(request.demand)
     count = zones.get(node.zone, 0) + sign
     if count:
         zones[node.zone] = count
@@ -147,7 +147,7 @@
     bench.changed(position)
 
 
-class Bar(IntFlag):
+class Predicate(IntFlag):
     """What keeps a task off a machine. Bits, since several may hold at once."""
 
     TYPE = 1
@@ -158,11 +158,11 @@
     """All of the job's tasks have to be where the first ones are."""
     SCATTER = 16
     """Half of the job's tasks are in the machine's zone already."""
-    SHUNNED = 32
+    AVOIDED = 32
     """Tasks of the job have failed there."""
     SIZE = 64
     """A task is larger than the whole machine."""
-    ROOM = 128
+    FREE_CAPACITY = 128
     """Others have the room, and none of them may be evicted for it."""
     LIMIT = 256
     """Of the team, wherever the machine is."""
@@ -173,8 +173,11 @@
 _SHUNNED, _SIZE, _ROOM, _LIMIT = 32, 64, 128, 256
 
 
-def barred(
-    request: Request, node: Node, zones: dict[str, int] | None = None, every: bool = False
+def failed_job_predicates(
+    request: Request,
+    node: MachineSnapshot,
+    zones: dict[str, int] | None = None,
+    every: bool = False,
 ) -> int:
     """Which of the job's own rules (bits of Bar) keep a task of it off the machine; 0 if none.
 
@@ -182,7 +185,7 @@
     `every`: all that do; otherwise the first one found is enough.
     """
     if zones is None:
-        zones = request.zones
+        zones = request.zone_counts
     found = 0
     if request.types is not None and node.type not in request.types:
         if not every:
@@ -207,40 +210,44 @@
     return found
 
 
-def allowed(request: Request, node: Node, zones: dict[str, int] | None = None) -> bool:
+def job_rules_allow(
+    request: Request, node: MachineSnapshot, zones: dict[str, int] | None = None
+) -> bool:
     """Whether the job's own rules let a task of it start on the machine."""
-    return not barred(request, node, zones)
+    return not failed_job_predicates(request, node, zones)
 
 
-class Bars:
+class PredicateCheck:
     """All that keeps the next task of a request off machines, as a bench stands.
 
     A plan places a task on a machine exactly where there is none (tests/sched/test_diagnosis.py).
     """
 
-    def __init__(self, bench: Bench, request: Request, zones: dict[str, int]) -> None:
+    def __init__(self, bench: TentativeState, request: Request, zones: dict[str, int]) -> None:
         self._bench = bench
         self._request = request
         self._zones = zones
         self._limit = 0 if bench.within_limit(request) else _LIMIT
-        self._evicts = bench.evict and (request.high or bench.lends(request))
+        self._evicts = bench.evict and (request.high or bench.others_exceed_guarantee(request))
 
-    def of(self, node: Node) -> int:
+    def failed(self, node: MachineSnapshot) -> int:
         """Bits of Bar; 0 if the task fits."""
         request = self._request
-        found = self._limit | barred(request, node, self._zones, every=True)
-        if node.index in request.shunned:
+        found = self._limit | failed_job_predicates(request, node, self._zones, every=True)
+        if node.index in request.avoided_machines:
             found |= _SHUNNED
-        if request.need.fits(node.free):
+        if request.demand.fits_in(node.free):
             return found
-        if not request.need.fits(node.total):
+        if not request.demand.fits_in(node.total):
             return found | _SIZE
         if self._evicts and node.running and victims_on(self._bench, node, request):
             return found
         return found | _ROOM
 
 
-def may_evict(bench: Bench, request: Request, victim: Running, freed: Resources) -> bool:
+def may_evict(
+    bench: TentativeState, request: Request, victim: RunningTask, freed: Resources
+) -> bool:
     """HP and LP are relative: a lower rank, or borrowed room when a team claims its own."""
     if not victim.evictable:
         return False
@@ -251,37 +258,37 @@
         # work: a replica stopped for another task waited for a minute where that one would have
         # waited for a boot.
         return False
-    if not bench.claims(request):
+    if not bench.within_guarantee(request):
         return False
     other = bench.teams[victim.team]
     # The other team has to stay beyond its guarantee up to this victim.
-    return not other.used.minus(freed).fits(other.guarantee)
+    return not other.used.minus(freed).fits_in(other.guarantee)
 
 
-def victims_on(bench: Bench, node: Node, request: Request) -> list[Running]:
+def victims_on(bench: TentativeState, node: MachineSnapshot, request: Request) -> list[RunningTask]:
     """Whose room on a machine would do for a task, the greatest waste spared; empty if none."""
     if bench.groups is not None:
         allowed = partial(may_evict, bench, request)
         return bench.groups.victims_on(node, request, bench.now, allowed)
-    victims: list[Running] = []
+    victims: list[RunningTask] = []
     freed: dict[int, Resources] = {}
     room = node.free
     for candidate in node.running:
         gone = freed.get(candidate.team, NOTHING)
         if may_evict(bench, request, candidate, gone):
-            freed[candidate.team] = gone.plus(candidate.need)
+            freed[candidate.team] = gone.plus(candidate.demand)
             victims.append(candidate)
-            room = room.plus(candidate.need)
-    if not victims or not request.need.fits(room):
+            room = room.plus(candidate.demand)
+    if not victims or not request.demand.fits_in(room):
         return []
     for candidate in sorted(victims, key=lambda victim: -victim.waste(bench.now)):
-        if request.need.fits(room.minus(candidate.need)):
-            room = room.minus(candidate.need)
+        if request.demand.fits_in(room.minus(candidate.demand)):
+            room = room.minus(candidate.demand)
             victims.remove(candidate)
     return victims
 
 
-def eviction_cost(bench: Bench, count: int, waste: float) -> float:
+def eviction_cost(bench: TentativeState, count: int, waste: float) -> float:
     evicted = bench.evicted + count
     rate = evicted / (bench.finished + evicted)
     return rate + bench.beta * waste / (bench.total_slots * bench.window_s)
--- a/badgerseam/settings.py
+++ b/badgerseam/settings.py
@@ -8,6 +8,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
+from badgerseam.errors import BadgerseamError
 from badgerseam.options import classes, replicas, runs, standby
 from badgerseam.options.classes import ClassesOptions
 from badgerseam.options.replicas import ReplicasOptions
@@ -21,7 +22,7 @@
 Name = Annotated[str, Meta(min_length=1)]
 
 
-class SettingsError(Exception):
+class SettingsError(BadgerseamError):
     """The settings cannot be used; the message names the field."""
 
 
@@ -55,10 +56,10 @@
         return float("inf"), float("inf")
 
 
-class Objective(Struct, frozen=True):
+class Objective(Struct, frozen=True, rename={"required_fraction": "share"}):
     kind: str
     job_class: str | None = field(default=None, name="class")
-    share: float | None = None
+    required_fraction: float | None = None
     within_s: float | None = None
     times: float | None = None
 
--- a/badgerseam/slurm/acct.py
+++ b/badgerseam/slurm/acct.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from badgerseam.slurm.client import Batch
+from badgerseam.slurm.client import BatchClient
 from badgerseam.slurm.states import PHASES, wanted_states
 from badgerseam.slurm.table import Field, R, Table
-from badgerseam.slurm.values import ValueProblem, begin
-from badgerseam.wire.accounting import AttemptLine, DayTotal, Line
+from badgerseam.slurm.values import ValueFormatError, begin
+from badgerseam.wire.accounting import AccountingLine, AttemptLine, DayTotal
 
 FORMAT = "JobID:12,JobName:14,Account:10,State:10,NTasks:.7,Attempts:.9,Elapsed:.10,CPUTime:.12"
 TOTALS = "Day:10,Account:14,Jobs:.7,Cancelled:.10,Attempts:.9,CPUTime:.14,Wasted:.14,Money:.12"
@@ -30,21 +30,21 @@
     return f"{hours:02}:{rest // 60:02}:{rest % 60:02}"
 
 
-def _number(line: Line) -> str:
+def _number(line: AccountingLine) -> str:
     return line.id.partition("-")[2].lstrip("0") or "0"
 
 
-def _planned(line: Line) -> str:
+def _planned(line: AccountingLine) -> str:
     if line.eligible_at is None or line.started_at is None:
         return "Unknown"
     return _span(max(0.0, line.started_at - line.eligible_at))
 
 
-def _ends(line: Line) -> str:
+def _ends(line: AccountingLine) -> str:
     return ";".join(f"{cause}={count}" for cause, count in line.ends.items())
 
 
-JOB_FIELDS: list[Field[Line]] = [
+JOB_FIELDS: list[Field[AccountingLine]] = [
     Field("", "JobID", "JobID", _number),
     Field("", "Id", "Id", lambda line: line.id),
     Field("", "JobName", "JobName", lambda line: line.name or line.job_class),
@@ -109,7 +109,7 @@
     return "unknown" if value is None else text.format(value)
 
 
-def _elapsed(line: Line) -> float:
+def _elapsed(line: AccountingLine) -> float:
     return 0.0 if line.started_at is None else max(0.0, line.ended_at - line.started_at)
 
 
@@ -151,17 +151,17 @@
         try:
             wanted = wanted_states(options.state)
         except ValueError as error:
-            raise ValueProblem(f"--state: {error}") from error
+            raise ValueFormatError(f"--state: {error}") from error
         ended = [phase for phase, name in PHASES.items() if name in wanted]
         ended = [phase for phase in ended if phase in ("done", "withdrawn")]
         if not ended:
-            raise ValueProblem("--state: jobs here end as COMPLETED or CANCELLED only")
+            raise ValueFormatError("--state: jobs here end as COMPLETED or CANCELLED only")
         if len(ended) == 1:
             found["state"] = ended[0]
     return found
 
 
-async def _wanted(batch: Batch, options: argparse.Namespace) -> AsyncIterator[Line]:
+async def _wanted(batch: BatchClient, options: argparse.Namespace) -> AsyncIterator[AccountingLine]:
     asked = filters(options, datetime.now().astimezone())
     if options.jobs is None:
         async for line in batch.accounting(asked):
@@ -173,7 +173,7 @@
             yield line
 
 
-async def run(batch: Batch, options: argparse.Namespace) -> None:
+async def run(batch: BatchClient, options: argparse.Namespace) -> None:
     """Print what is asked for."""
     if options.totals:
         totals = await batch.totals()
@@ -197,9 +197,9 @@
     )
 
 
-async def _attempts(batch: Batch, options: argparse.Namespace) -> None:
+async def _attempts(batch: BatchClient, options: argparse.Namespace) -> None:
     if options.jobs is None:
-        raise ValueProblem("--attempts: name jobs with -j")
+        raise ValueFormatError("--attempts: name jobs with -j")
     found: list[AttemptLine] = []
     for job in options.jobs.split(","):
         job_id = await batch.id_of(job.strip())
