--- a/badgerseam/slurm/client.py
+++ b/badgerseam/slurm/client.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from badgerseam.cli.client import Front
+from badgerseam.cli.client import ServiceClient
+from badgerseam.errors import BadgerseamError
 from badgerseam.wire import accounting as accounting_wire
 from badgerseam.wire import batch as wire
 from badgerseam.wire import explain
@@ -20,18 +21,18 @@
 
 PAGE = 200
 ACCOUNTING_PAGE = 500
-MOST_ASKED = 300
+MAX_JOBS_EXPLAINED = 300
 """Waiting jobs whose reasons are asked for with a list."""
 
 
-class Refusal(Exception):
+class RefusedError(BadgerseamError):
     """The service has refused; the message is its own."""
 
 
-class Batch:
+class BatchClient:
     """One method a question; Refusal if the service refuses."""
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: ServiceClient) -> None:
         self._front = front
 
     async def _ask(
@@ -39,7 +40,7 @@
     ) -> Response:
         response = await self._front.ask(method, path, body)
         if response.status not in good:
-            raise Refusal(f"{path}: {_error(response)}")
+            raise RefusedError(f"{path}: {_error(response)}")
         return response
 
     async def id_of(self, text: str) -> str:
@@ -48,20 +49,22 @@
             return text
         number = text.partition("_")[0]
         if not number.isdecimal():
-            raise Refusal(f"{text!r} is no job number such as 1000123")
+            raise RefusedError(f"{text!r} is no job number such as 1000123")
         response = await self._ask("GET", f"/numbers/{number}")
-        ids = wire.found_decoder.decode(response.body).ids
+        ids = wire.number_lookup_decoder.decode(response.body).ids
         if not ids:
-            raise Refusal(f"{number}: no such job")
+            raise RefusedError(f"{number}: no such job")
         if len(ids) > 1:
-            raise Refusal(f"{number}: several jobs have this number: {', '.join(ids)}; name one")
+            raise RefusedError(
+                f"{number}: several jobs have this number: {', '.join(ids)}; name one"
+            )
         return ids[0]
 
     async def numbers(self, count: int) -> list[int]:
         """New job numbers."""
-        body = wire.encode(wire.TakeNumbers(count))
+        body = wire.encode(wire.NumbersRequest(count))
         response = await self._ask("POST", "/numbers", body)
-        return wire.taken_decoder.decode(response.body).numbers
+        return wire.numbers_response_decoder.decode(response.body).numbers
 
     async def submit(self, spec: Submission) -> bool:
         """Submit; False if the id is another job's."""
@@ -70,7 +73,7 @@
         if response.status == 409:
             return False
         if response.status not in (200, 201):
-            raise Refusal(_error(response))
+            raise RefusedError(_error(response))
         return True
 
     async def phase(self, job: str) -> str:
@@ -107,7 +110,7 @@
         """
         lines = await self._list({})
         unknown = [line for line in lines if line.waiting and not line.reasons]
-        if not reasons or not 0 < len(unknown) <= MOST_ASKED:
+        if not reasons or not 0 < len(unknown) <= MAX_JOBS_EXPLAINED:
             return lines
         told = {line.id: line for line in await self._list({"reasons": "1", "waiting": "1"})}
         return [told.get(line.id, line) for line in lines]
@@ -126,7 +129,9 @@
                 return lines
             after = page[-1].id
 
-    async def accounting(self, filters: dict[str, str]) -> AsyncIterator[accounting_wire.Line]:
+    async def accounting(
+        self, filters: dict[str, str]
+    ) -> AsyncIterator[accounting_wire.AccountingLine]:
         """Jobs that have ended, the latest first, page by page."""
         after: str | None = None
         while True:
--- a/badgerseam/slurm/commands.py
+++ b/badgerseam/slurm/commands.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from badgerseam.cli.client import DEFAULT_NODE, NODES_VARIABLE, Front, Unreachable
+from badgerseam.cli.client import DEFAULT_NODE, NODES_VARIABLE, ServiceClient, UnreachableError
 from badgerseam.cli.exits import EXIT_FAILED, EXIT_OK, EXIT_UNREACHABLE, EXIT_USAGE
 from badgerseam.slurm import acct, control, queue, submit, values
-from badgerseam.slurm.client import Batch, Refusal
+from badgerseam.slurm.client import BatchClient, RefusedError
 from badgerseam.slurm.states import NODE_STATES
-from badgerseam.slurm.table import Field, FormatProblem, Table
+from badgerseam.slurm.table import Field, Table, TableFormatError
 from badgerseam.wire import batch as wire
 
 WAIT_S = 2.0
@@ -34,20 +34,20 @@
 
 def _run(
     name: str,
-    work: Callable[[Batch], Coroutine[Any, Any, int]],
+    work: Callable[[BatchClient], Coroutine[Any, Any, int]],
     node: str | None,
     patience_s: float = PATIENCE_S,
 ) -> int:
     nodes = node or os.environ.get(NODES_VARIABLE, DEFAULT_NODE)
     try:
-        return asyncio.run(work(Batch(Front(nodes, patience_s))))
-    except (submit.Problem, FormatProblem, values.ValueProblem) as error:
+        return asyncio.run(work(BatchClient(ServiceClient(nodes, patience_s))))
+    except (submit.SubmissionError, TableFormatError, values.ValueFormatError) as error:
         _say(name, str(error))
         return EXIT_USAGE
-    except Refusal as error:
+    except RefusedError as error:
         _say(name, str(error))
         return EXIT_FAILED
-    except Unreachable as error:
+    except UnreachableError as error:
         _say(name, str(error))
         return EXIT_UNREACHABLE
     except KeyboardInterrupt:
@@ -70,7 +70,7 @@
         made = submit.draft(command, script)
         # Whatever can be said without the service is said before it is asked.
         made.submission("job-1", [], "x", datetime.now().astimezone())
-    except (submit.Problem, values.ValueProblem) as error:
+    except (submit.SubmissionError, values.ValueFormatError) as error:
         _say("bsbatch", str(error))
         return EXIT_USAGE
     return _run("bsbatch", lambda batch: _submit(batch, command, made), command.node)
@@ -86,7 +86,7 @@
     return command
 
 
-async def _submit(batch: Batch, command: argparse.Namespace, made: submit.Draft) -> int:
+async def _submit(batch: BatchClient, command: argparse.Namespace, made: submit.Draft) -> int:
     now = datetime.now().astimezone()
     ids = {}
     for _, job in made.depends.entries if made.depends else []:
@@ -140,7 +140,7 @@
     return _run("bscancel", lambda batch: _cancel(batch, options), options.node)
 
 
-async def _cancel(batch: Batch, options: argparse.Namespace) -> int:
+async def _cancel(batch: BatchClient, options: argparse.Namespace) -> int:
     ids: list[str] = []
     failed = False
     for job in options.jobs:
@@ -150,7 +150,7 @@
             continue
         try:
             ids.append(await batch.id_of(job))
-        except Refusal as error:
+        except RefusedError as error:
             _say("bscancel", str(error))
             failed = True
     filters = queue.Filters(
@@ -178,7 +178,7 @@
     """List open jobs."""
     options = queue.parser(_node).parse_args(arguments)
 
-    async def work(batch: Batch) -> int:
+    async def work(batch: BatchClient) -> int:
         rows = queue.rows(await batch.queue(True), options)
         print(queue.render(rows, options))
         return EXIT_OK
@@ -213,7 +213,7 @@
     _node(parser)
     options = parser.parse_args(arguments)
 
-    async def work(batch: Batch) -> int:
+    async def work(batch: BatchClient) -> int:
         table = Table(MACHINE_FIELDS)
         columns = table.short(options.format)
         rows = [row for row in await batch.machines() if options.partition in (None, row.type)]
@@ -245,7 +245,7 @@
     return _run("bscontrol", lambda batch: _control(batch, options), options.node)
 
 
-async def _control(batch: Batch, options: argparse.Namespace) -> int:
+async def _control(batch: BatchClient, options: argparse.Namespace) -> int:
     if options.order == "show":
         job = await batch.id_of(options.job)
         print(control.show(await batch.details(job), await batch.why(job)))
@@ -272,7 +272,7 @@
     """List jobs that have ended."""
     options = acct.parser(_node).parse_args(arguments)
 
-    async def work(batch: Batch) -> int:
+    async def work(batch: BatchClient) -> int:
         await acct.run(batch, options)
         return EXIT_OK
 
--- a/badgerseam/slurm/control.py
+++ b/badgerseam/slurm/control.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from badgerseam.slurm.states import PHASES, REASONS
-from badgerseam.slurm.submit import Problem
-from badgerseam.slurm.values import ValueProblem, begin, dependency
+from badgerseam.slurm.submit import SubmissionError
+from badgerseam.slurm.values import ValueFormatError, begin, dependency
 from badgerseam.wire.batch import Details
 from badgerseam.wire.explain import Why
 
@@ -82,30 +82,30 @@
         name, equals, value = field.partition("=")
         key = name.lower()
         if not equals:
-            raise Problem(f"{field!r}: write Field=value")
+            raise SubmissionError(f"{field!r}: write Field=value")
         try:
             if key in ("jobid", "job"):
                 job = value
             elif key == "arraytaskthrottle":
                 if not value.isdecimal():
-                    raise ValueProblem(f"{value!r} is no number; 0 takes the throttle away")
+                    raise ValueFormatError(f"{value!r} is no number; 0 takes the throttle away")
                 change["throttle"] = int(value) or None
             elif key == "starttime":
                 change["beginAt"] = begin(value, now).timestamp()
             elif key == "dependency":
                 wanted = dependency(value) if value else None
                 if wanted is not None and wanted.singleton:
-                    raise ValueProblem("singleton is set when a job is submitted")
+                    raise ValueFormatError("singleton is set when a job is submitted")
                 change["depends"] = [] if wanted is None else wanted.entries
                 change["any"] = False if wanted is None else wanted.any
             elif key == "comment":
                 change["comment"] = value or None
             else:
-                raise Problem(f"{name}: cannot be changed; there are {', '.join(FIELDS)}")
-        except ValueProblem as error:
-            raise Problem(f"{name}: {error}") from error
+                raise SubmissionError(f"{name}: cannot be changed; there are {', '.join(FIELDS)}")
+        except ValueFormatError as error:
+            raise SubmissionError(f"{name}: {error}") from error
     if job is None:
-        raise Problem("JobId=NUMBER is needed")
+        raise SubmissionError("JobId=NUMBER is needed")
     if not change:
-        raise Problem(f"nothing to change; there are {', '.join(FIELDS)}")
+        raise SubmissionError(f"nothing to change; there are {', '.join(FIELDS)}")
     return job, change
--- a/badgerseam/slurm/queue.py
+++ b/badgerseam/slurm/queue.py
@@ -11,7 +11,7 @@
 
 from badgerseam.slurm.states import STATES, reason, wanted_states
 from badgerseam.slurm.table import Field, Table
-from badgerseam.slurm.values import ValueProblem
+from badgerseam.slurm.values import ValueFormatError
 from badgerseam.wire.explain import QueueLine
 
 FORMAT = "%.18i %.9P %.12j %.8u %.2t %.10M %.6D %R"
@@ -106,7 +106,7 @@
     try:
         return wanted_states(text)
     except ValueError as error:
-        raise ValueProblem(f"--states: {error}") from error
+        raise ValueFormatError(f"--states: {error}") from error
 
 
 def parser(node: Callable[[argparse.ArgumentParser], None]) -> argparse.ArgumentParser:
--- a/badgerseam/slurm/submit.py
+++ b/badgerseam/slurm/submit.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 from typing import Any, NoReturn
 
+from badgerseam.errors import BadgerseamError
 from badgerseam.slurm import values
 from badgerseam.wire.users import Dependency, Submission, Terms
 
@@ -52,13 +53,13 @@
 """Options of sbatch that are refused, and why."""
 
 
-class Problem(Exception):
+class SubmissionError(BadgerseamError):
     """What was typed cannot be submitted; the message says what to change."""
 
 
 class _Parser(argparse.ArgumentParser):
     def error(self, message: str) -> NoReturn:
-        raise Problem(message)
+        raise SubmissionError(message)
 
 
 class _Refuse(argparse.Action):
@@ -74,14 +75,14 @@
         given: object,
         option_string: str | None = None,
     ) -> None:
-        raise Problem(f"{option_string}: not to be had here: {self.why}")
+        raise SubmissionError(f"{option_string}: not to be had here: {self.why}")
 
 
 def _checked(parse: Callable[[str], Any]) -> Callable[[str], Any]:
     def convert(text: str) -> Any:
         try:
             return parse(text)
-        except values.ValueProblem as error:
+        except values.ValueFormatError as error:
             raise argparse.ArgumentTypeError(str(error)) from error
 
     return convert
@@ -89,7 +90,7 @@
 
 def _positive(text: str) -> int:
     if not text.isdecimal() or int(text) < 1:
-        raise values.ValueProblem(f"{text!r} is no number from 1 on")
+        raise values.ValueFormatError(f"{text!r} is no number from 1 on")
     return int(text)
 
 
@@ -97,9 +98,9 @@
     try:
         found = float(text)
     except ValueError as error:
-        raise values.ValueProblem(f"{text!r} is no number") from error
+        raise values.ValueFormatError(f"{text!r} is no number") from error
     if not 0 <= found <= 1e9:
-        raise values.ValueProblem(f"{text!r} is not from 0 to 1e9")
+        raise values.ValueFormatError(f"{text!r} is not from 0 to 1e9")
     return found
 
 
@@ -160,7 +161,7 @@
             try:
                 found += shlex.split(bare[len(MARK) :], comments=True)
             except ValueError as error:
-                raise Problem(f"line {number}: {error}") from error
+                raise SubmissionError(f"line {number}: {error}") from error
         elif bare and not bare.startswith("#"):
             break
     return found
@@ -203,7 +204,7 @@
         if o.deadline is not None:
             due = (_time(values.begin, o.deadline, now) - now).total_seconds()
             if due <= 0:
-                raise Problem(f"--deadline: {o.deadline!r} is not in the future")
+                raise SubmissionError(f"--deadline: {o.deadline!r} is not in the future")
         return Submission(
             id=job_id,
             job_class=o.job_class or name,
@@ -239,18 +240,22 @@
             setattr(options, name, given)
     options.account = options.account or os.environ.get(ACCOUNT_VARIABLE)
     if not options.account:
-        raise Problem(f"--account: name your team, here or in {ACCOUNT_VARIABLE}")
+        raise SubmissionError(f"--account: name your team, here or in {ACCOUNT_VARIABLE}")
     if options.array is not None and (options.ntasks or 1) > 1:
-        raise Problem("--array, --ntasks: tasks of an array run one by one; give one of the two")
+        raise SubmissionError(
+            "--array, --ntasks: tasks of an array run one by one; give one of the two"
+        )
     if options.mem is not None and options.mem_per_cpu is not None:
-        raise Problem("--mem, --mem-per-cpu: give one of the two")
+        raise SubmissionError("--mem, --mem-per-cpu: give one of the two")
     if options.service and (options.array is not None or options.time is not None):
-        raise Problem("--service: runs until it is cancelled; it takes no --array and no --time")
+        raise SubmissionError(
+            "--service: runs until it is cancelled; it takes no --array and no --time"
+        )
     features = _features(options.constraint)
     if {"ordinary", "spot"} <= features:
-        raise Problem("--constraint: ordinary and spot exclude one another")
+        raise SubmissionError("--constraint: ordinary and spot exclude one another")
     if {"onezone", "scatter"} <= features:
-        raise Problem("--constraint: onezone and scatter exclude one another")
+        raise SubmissionError("--constraint: onezone and scatter exclude one another")
     return Draft(options, options.dependency)
 
 
@@ -258,16 +263,18 @@
     """The script's text; Problem if there is none, or two."""
     if command.wrap is not None:
         if command.script is not None:
-            raise Problem("--wrap: there is a script as well; give one of the two")
+            raise SubmissionError("--wrap: there is a script as well; give one of the two")
         return f"#!/bin/sh\n{command.wrap}\n"
     if command.script is None:
-        raise Problem("a script, or --wrap, is needed")
+        raise SubmissionError("a script, or --wrap, is needed")
     try:
         text = stdin() if command.script == "-" else Path(command.script).read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise Problem(f"{command.script}: {error}") from error
+        raise SubmissionError(f"{command.script}: {error}") from error
     if not text.startswith("#!"):
-        raise Problem(f"{command.script}: a batch script begins with #! and its interpreter")
+        raise SubmissionError(
+            f"{command.script}: a batch script begins with #! and its interpreter"
+        )
     return text
 
 
@@ -275,7 +282,7 @@
     """The command line of bsbatch; Problem if it cannot be taken."""
     found = command_parser().parse_args(arguments)
     if found.script_args:
-        raise Problem("arguments of the script: the service sends none to tasks yet")
+        raise SubmissionError("arguments of the script: the service sends none to tasks yet")
     return found
 
 
@@ -283,15 +290,17 @@
     found = set() if text is None else {part.strip().lower() for part in text.split("&")}
     unknown = sorted(found - set(FEATURES))
     if unknown:
-        raise Problem(f"--constraint: {', '.join(unknown)}: there are {', '.join(FEATURES)}")
+        raise SubmissionError(
+            f"--constraint: {', '.join(unknown)}: there are {', '.join(FEATURES)}"
+        )
     return found
 
 
 def _time(parse_time: Callable[[str, datetime], datetime], text: str, now: datetime) -> datetime:
     try:
         return parse_time(text, now)
-    except values.ValueProblem as error:
-        raise Problem(str(error)) from error
+    except values.ValueFormatError as error:
+        raise SubmissionError(str(error)) from error
 
 
 def _user() -> str:
--- a/badgerseam/slurm/table.py
+++ b/badgerseam/slurm/table.py
@@ -7,10 +7,12 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
+from badgerseam.errors import BadgerseamError
+
 R = TypeVar("R")
 
 
-class FormatProblem(ValueError):
+class TableFormatError(BadgerseamError, ValueError):
     """The format names a field that is not there."""
 
 
@@ -46,7 +48,7 @@
         for found in re.finditer(r"%(\.?)(\d*)([A-Za-z])", text):
             if found[3] not in self._letters:
                 known = " ".join(f"%{letter}" for letter in sorted(self._letters))
-                raise FormatProblem(f"%{found[3]}: no such field; there are {known}")
+                raise TableFormatError(f"%{found[3]}: no such field; there are {known}")
             columns.append(
                 _Column(
                     self._letters[found[3]],
@@ -57,7 +59,7 @@
             )
             end = found.end()
         if not columns:
-            raise FormatProblem(f"{text!r} names no field such as %i")
+            raise TableFormatError(f"{text!r} names no field such as %i")
         return columns
 
     def long(self, text: str) -> list[_Column[R]]:
@@ -69,7 +71,7 @@
             width = width.lstrip(".")
             if name.lower() not in self._names or (colon and not width.isdecimal()):
                 known = ", ".join(field.name for field in self._names.values())
-                raise FormatProblem(f"{part!r}: no such field; there are {known}")
+                raise TableFormatError(f"{part!r}: no such field; there are {known}")
             size = int(width) if colon else 20
             columns.append(_Column(self._names[name.lower()], size, right, " " * bool(columns)))
         return columns
--- a/badgerseam/slurm/values.py
+++ b/badgerseam/slurm/values.py
@@ -6,14 +6,15 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
+from badgerseam.errors import BadgerseamError
 from badgerseam.wire.users import Dependency
 
-MOST_TASKS = 100_000
+MAX_TASKS = 100_000
 UNITS_GB = {"K": 1 / 1024**2, "M": 1 / 1024, "G": 1.0, "T": 1024.0}
 SECONDS = {"second": 1, "minute": 60, "hour": 3600, "day": 86400, "week": 604800}
 
 
-class ValueProblem(ValueError):
+class ValueFormatError(BadgerseamError, ValueError):
     """A value cannot be used; the message says what one looks like."""
 
 
@@ -21,13 +22,13 @@
     """4G, 512M, 2048 (megabytes)."""
     found = re.fullmatch(r"(\d+(?:\.\d+)?)([KMGT]?)B?", text.strip(), re.IGNORECASE)
     if found is None or float(found[1]) == 0:
-        raise ValueProblem(f"{text!r} is no amount of memory such as 4G or 512M")
+        raise ValueFormatError(f"{text!r} is no amount of memory such as 4G or 512M")
     return float(found[1]) * UNITS_GB[found[2].upper() or "M"]
 
 
 def seconds(text: str) -> float:
     """30 (minutes), 30:00, 1:30:00, 2-12, 2-12:30, 2-12:30:00."""
-    problem = ValueProblem(f"{text!r} is no time such as 30, 30:00, 1:30:00 or 2-12:00:00")
+    problem = ValueFormatError(f"{text!r} is no time such as 30, 30:00, 1:30:00 or 2-12:00:00")
     days, dash, rest = text.strip().partition("-")
     if not dash:
         days, rest = "0", days
@@ -59,7 +60,7 @@
 
 def array(text: str) -> Array:
     """0-99, 1-9:2, 0,2,4 and each with %10."""
-    problem = ValueProblem(f"{text!r} is no array such as 0-99, 0-99%10 or 0-30:10")
+    problem = ValueFormatError(f"{text!r} is no array such as 0-99, 0-99%10 or 0-30:10")
     body, percent, limit = text.strip().partition("%")
     throttle = None
     if percent:
@@ -83,11 +84,11 @@
         step = listed[1] - first if len(listed) > 1 else 1
         indices = range(first, listed[-1] + 1, step)
         if list(indices) != listed:
-            raise ValueProblem(
+            raise ValueFormatError(
                 f"{text!r}: indices of one array have to be equally far apart; submit several"
             )
-    if len(indices) > MOST_TASKS:
-        raise ValueProblem(f"{text!r}: an array has at most {MOST_TASKS} tasks")
+    if len(indices) > MAX_TASKS:
+        raise ValueFormatError(f"{text!r}: an array has at most {MAX_TASKS} tasks")
     return Array(first, step, len(indices), throttle)
 
 
@@ -99,7 +100,9 @@
         unit = (found[2] or "second").lower().rstrip("s")
         matching = [name for name in SECONDS if name.startswith(unit)]
         if not matching:
-            raise ValueProblem(f"{text!r}: {found[2]!r} is none of seconds, minutes, hours, days")
+            raise ValueFormatError(
+                f"{text!r}: {found[2]!r} is none of seconds, minutes, hours, days"
+            )
         return now + timedelta(seconds=int(found[1] or 0) * SECONDS[matching[0]])
     days = {"today": 0, "midnight": 1, "tomorrow": 1}
     if text.lower() in days:
@@ -112,12 +115,12 @@
         try:
             at = now.replace(hour=hour, minute=minute, second=sum(rest), microsecond=0)
         except ValueError as error:
-            raise ValueProblem(f"{text!r} is no time of day") from error
+            raise ValueFormatError(f"{text!r} is no time of day") from error
         return at if at > now else at + timedelta(days=1)
     try:
         at = datetime.fromisoformat(text)
     except ValueError as error:
-        raise ValueProblem(
+        raise ValueFormatError(
             f"{text!r} is no begin time such as now+2hours, 16:00 or 2026-12-24T08:00"
         ) from error
     return at if at.tzinfo is not None else at.replace(tzinfo=now.tzinfo)
@@ -138,7 +141,7 @@
 def dependency(text: str) -> Depends:
     """afterok:12:13,afterany:14 (all of them), with ? instead of commas (any), singleton."""
     if "," in text and "?" in text:
-        raise ValueProblem(f"{text!r}: either commas (all) or question marks (any)")
+        raise ValueFormatError(f"{text!r}: either commas (all) or question marks (any)")
     some = "?" in text
     entries: list[tuple[str, str]] = []
     singleton = False
@@ -148,17 +151,17 @@
             singleton = True
             continue
         if kind not in KINDS:
-            raise ValueProblem(
+            raise ValueFormatError(
                 f"{part!r}: {kind} is not kept here; there are {', '.join(KINDS)}, singleton"
             )
         if not jobs:
-            raise ValueProblem(f"{part!r}: name a job, such as {kind}:1000123")
+            raise ValueFormatError(f"{part!r}: name a job, such as {kind}:1000123")
         for job in jobs:
             if "+" in job:
-                raise ValueProblem(f"{part!r}: a time after a start is not kept here")
+                raise ValueFormatError(f"{part!r}: a time after a start is not kept here")
             entries.append((kind, job.partition("_")[0]))
     if singleton and some:
-        raise ValueProblem(f"{text!r}: singleton cannot be one of several that suffice")
+        raise ValueFormatError(f"{text!r}: singleton cannot be one of several that suffice")
     return Depends(entries, some, singleton)
 
 
--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -26,12 +26,16 @@
 import msgspec
 
 from badgerseam.background import BackgroundTasks
-from badgerseam.cluster.membership import Member
-from badgerseam.http.client import NoResponse, Reset, TurnedAway
+from badgerseam.cluster.membership import Membership
+from badgerseam.http.client import (
+    ConnectionRefusedByPeerError,
+    ConnectionResetByPeerError,
+    NoResponseError,
+)
 from badgerseam.model.model import Model
 from badgerseam.options.standby import StandbyOptions
-from badgerseam.standby.successors import heirs, lease_of
-from badgerseam.store.client import LeaseLost, StateClient, Unavailable
+from badgerseam.standby.successors import lease_of, successors
+from badgerseam.store.client import LeaseExpiredError, StateClient, StateUnavailableError
 from badgerseam.wire import standby as wire
 
 log = logging.getLogger("badgerseam.standby")
@@ -41,34 +45,34 @@
 LATE_S = 1.0
 """After that an answer is late, and tells of nothing but silence."""
 VIEW_S = 0.3
-AGREES = 2
+CONFIRMATIONS_NEEDED = 2
 """Refusals in a row at the other sibling with which it agrees: it may have noticed later."""
 TURN_S = 0.4
 """How long those in line leave it to the one before them, beyond the time for an answer."""
 END_S = 1.0
-MOST_STEP_S = 0.3
+MAX_STEP_S = 0.3
 """Between two looks; one that stood still for longer begins its doubts anew."""
-REST_S, MOST_REST_S = 5.0, 60.0
+REST_S, MAX_REST_S = 5.0, 60.0
 """After a sign of life of one that refuses us: a filter may stay for long, and each question costs
 two changes. Doubled each time."""
-MOST_BACKOFF_S = 86400.0
+MAX_BACKOFF_S = 86400.0
 
 Ask = Callable[[str, str, bytes, float], Coroutine[None, None, bytes]]
 """Asks a sibling: its name, the path, the body, a deadline in seconds; NoResponse without one."""
 
 
 @dataclass(slots=True)
-class Case:
+class Suspicion:
     """A controller under suspicion."""
 
     lease: int
     opened_at: float
     mark: int
     """The stamp of its own record when it came under suspicion."""
-    agreed: bool = False
+    confirmed: bool = False
     asking: bool = False
     asked_at: float = -1e9
-    summoned: int = 0
+    summons_sent: int = 0
     """The stamp of our own record before it named the suspected one; 0: not yet."""
     shown_at: float | None = None
     """When our replica showed our record with its name, which it can have read as well by then."""
@@ -76,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class Line:
+class PeerState:
     """What is known of a sibling from asking it."""
 
     next_at: float = 0.0
@@ -85,30 +89,30 @@
     first_at: float = 0.0
     process: str = ""
     number: int = 0
-    case: Case | None = None
-    came: set[str] = field(default_factory=set)
+    suspicion: Suspicion | None = None
+    redirected_workers: set[str] = field(default_factory=set)
     """Its workers that came to us since the first refusal."""
-    rest_s: float = REST_S
-    rests_until: float = -1e9
+    backoff_after_end_s: float = REST_S
+    resting_until: float = -1e9
     ended: str | None = None
     """The process whose lease was ended, until another one answers."""
     ends: int = 0
     backoff_s: float = 0.0
-    barred_until: float = -1e9
+    retry_after: float = -1e9
 
 
-class Watch:
+class FailureDetector:
     """Stands by for the siblings; `step` drives it, several times in `probe_s`."""
 
     def __init__(
         self,
         model: Model,
-        member: Member,
+        member: Membership,
         state: StateClient,
         options: StandbyOptions,
         ask: Ask,
         steady: Callable[[], bool],
-        told: Callable[[str, wire.Told], None],
+        told: Callable[[str, wire.SoftStateUpdate], None],
     ) -> None:
         """`steady`: whether our own lease is confirmed after any pause; `told`: takes what a
         sibling has told."""
@@ -120,7 +124,7 @@
         self._steady = steady
         self._told = told
         self._clock = model.clock
-        self.lines = {name: Line() for name in member.order if name != member.node}
+        self.peers = {name: PeerState() for name in member.order if name != member.node}
         self._stepped_at = self._clock.now()
         self._answered: dict[str, int] = {}
         """Of each sibling the stamp of its record that we have answered for."""
@@ -131,36 +135,36 @@
     def step(self) -> None:
         """Ask whom it is time to ask, and go on with what is suspected."""
         now = self._clock.now()
-        paused = now - self._stepped_at > MOST_STEP_S
+        paused = now - self._stepped_at > MAX_STEP_S
         self._stepped_at = now
         self._answer()
-        for name, line in self.lines.items():
+        for name, line in self.peers.items():
             if paused:
                 # Answers may lie unread, and what was seen before it is old.
                 self._clear(name, line)
             if not line.asking and now >= line.next_at:
                 line.asking = True
                 self._tasks.spawn(self._follow(name, line))
-            self._judge(name, line, now)
+            self._review_suspicion(name, line, now)
 
     # ---- what is seen ----
 
-    async def _follow(self, name: str, line: Line) -> None:
-        body = wire.encode(wire.Follow(self._member.node, line.process, line.number))
+    async def _follow(self, name: str, line: PeerState) -> None:
+        body = wire.encode(wire.FollowRequest(self._member.node, line.process, line.number))
         try:
-            told = wire.told_decoder.decode(
+            told = wire.update_decoder.decode(
                 await self._ask(name, "/standby/follow", body, HOLD_S + LATE_S)
             )
-        except (TurnedAway, Reset):
+        except (ConnectionRefusedByPeerError, ConnectionResetByPeerError):
             now = self._clock.now()
             if line.refused == 0:
                 line.first_at = now
-                line.came.clear()
+                line.redirected_workers.clear()
             line.refused += 1
             # Of one that holds nothing there is nothing to be found out soon.
             holds = lease_of(self._model, name) is not None
             line.next_at = now + (self._options.probe_s if holds else HOLD_S / 2)
-        except (NoResponse, msgspec.DecodeError):
+        except (NoResponseError, msgspec.DecodeError):
             # Silent, or another program: neither is a sign of an end.
             self._clear(name, line)
             line.next_at = self._clock.now() + HOLD_S
@@ -168,27 +172,27 @@
             self._clear(name, line)
             self._recognize(name, line, told.process)
             line.number = told.number
-            line.next_at = self._clock.now() + (0.0 if told.held else HOLD_S)
+            line.next_at = self._clock.now() + (0.0 if told.holds_claims else HOLD_S)
             self._told(name, told)
         finally:
             line.asking = False
         if line.refused:
             with self._model.lock:
-                self._judge(name, line, self._clock.now())
+                self._review_suspicion(name, line, self._clock.now())
 
-    def _clear(self, name: str, line: Line) -> None:
+    def _clear(self, name: str, line: PeerState) -> None:
         line.refused = 0
-        line.case = None
-        self._member.doubts.discard(name)
+        line.suspicion = None
+        self._member.suspected.discard(name)
 
-    def _recognize(self, name: str, line: Line, process: str) -> None:
+    def _recognize(self, name: str, line: PeerState, process: str) -> None:
         """Who answers: the process of before, or one that was started anew."""
         if line.ended is not None:
             if line.ended == process:
                 line.backoff_s = min(
-                    max(self._options.backoff_s, 2 * line.backoff_s), MOST_BACKOFF_S
+                    max(self._options.backoff_s, 2 * line.backoff_s), MAX_BACKOFF_S
                 )
-                line.barred_until = self._clock.now() + line.backoff_s
+                line.retry_after = self._clock.now() + line.backoff_s
                 log.info(
                     "%s has not ended: its lease was ended needlessly; left alone for %.0f s",
                     name,
@@ -196,25 +200,25 @@
                 )
             line.ended = None
         if process != line.process:
-            line.rest_s = REST_S
+            line.backoff_after_end_s = REST_S
         line.process = process
 
-    def worker_came(self, owner: str, machine: str) -> None:
+    def on_redirected_worker(self, owner: str, machine: str) -> None:
         """A worker of an owner has reported to us."""
-        line = self.lines.get(owner)
+        line = self.peers.get(owner)
         if line is not None and line.refused:
-            line.came.add(machine)
+            line.redirected_workers.add(machine)
 
-    def seen(self, name: str) -> wire.Seen:
+    def view_of(self, name: str) -> wire.PeerView:
         """How we see a sibling, for the other one."""
-        line = self.lines.get(name)
-        return wire.Seen(0 if line is None else line.refused)
+        line = self.peers.get(name)
+        return wire.PeerView(0 if line is None else line.refused)
 
     # ---- being suspected ----
 
     def _answer(self) -> None:
-        for name, held in self._model.nodes.items():
-            asked = self._member.node in held.claim.doubts
+        for name, held in self._model.controllers.items():
+            asked = self._member.node in held.record.suspected
             if asked and self._answered.get(name) != held.version:
                 self._answered[name] = held.version
                 log.info("%s takes us for ended: our own record says that we are not", name)
@@ -222,7 +226,7 @@
 
     # ---- suspecting ----
 
-    def _doubted(self, line: Line, now: float) -> bool:
+    def _is_suspected(self, line: PeerState, now: float) -> bool:
         options = self._options
         span_s = (options.refusals - 1) * options.probe_s
         if not line.process:
@@ -230,92 +234,96 @@
             return False
         return line.refused >= options.refusals and now - line.first_at >= 0.9 * span_s
 
-    def _judge(self, name: str, line: Line, now: float) -> None:
-        case, model, member = line.case, self._model, self._member
-        if not self._doubted(line, now) or now < max(line.barred_until, line.rests_until):
+    def _review_suspicion(self, name: str, line: PeerState, now: float) -> None:
+        case, model, member = line.suspicion, self._model, self._member
+        if not self._is_suspected(line, now) or now < max(line.retry_after, line.resting_until):
             return
         lease = lease_of(model, name)
-        present = model.nodes.get(name)
+        present = model.controllers.get(name)
         mark = 0 if present is None else present.version
         if lease is None or not self._steady():
             return
         if case is None:
-            line.case = case = Case(lease, now, mark)
+            line.suspicion = case = Suspicion(lease, now, mark)
         if case.lease != lease or (present is not None and case.mark != mark):
             log.info("%s refuses connections, and lives by its records", name)
             self._clear(name, line)
-            line.rests_until = now + line.rest_s
-            line.rest_s = min(2 * line.rest_s, MOST_REST_S)
+            line.resting_until = now + line.backoff_after_end_s
+            line.backoff_after_end_s = min(2 * line.backoff_after_end_s, MAX_REST_S)
             return
-        line_up = heirs(model, member.order, name)
+        line_up = successors(model, member.order, name)
         if case.ending or member.node not in line_up:
             return
         turn_s = self._options.answer_s + TURN_S
         if now - case.opened_at < turn_s * line_up.index(member.node):
             return
-        if len(line.came) >= self._options.witnesses:
-            case.agreed = True
-        if not case.agreed:
+        if len(line.redirected_workers) >= self._options.witnesses:
+            case.confirmed = True
+        if not case.confirmed:
             if not case.asking and now - case.asked_at >= self._options.probe_s:
                 case.asking, case.asked_at = True, now
                 self._tasks.spawn(self._ask_others(name, line, case))
             return
-        self._summon(name, case, now)
+        self._request_sign_of_life(name, case, now)
         if case.shown_at is not None and now - case.shown_at >= self._options.answer_s:
             case.ending = True
-            self._tasks.spawn(self._end(name, line, case))
+            self._tasks.spawn(self._revoke_lease(name, line, case))
 
-    async def _ask_others(self, name: str, line: Line, case: Case) -> None:
-        body = wire.encode(wire.View(name))
+    async def _ask_others(self, name: str, line: PeerState, case: Suspicion) -> None:
+        body = wire.encode(wire.PeerViewRequest(name))
         try:
-            for other in self.lines:
+            for other in self.peers:
                 if other == name:
                     continue
                 try:
                     reply = await self._ask(other, "/standby/view", body, VIEW_S)
-                    seen = wire.seen_decoder.decode(reply)
-                except (NoResponse, msgspec.DecodeError):
+                    seen = wire.peer_view_decoder.decode(reply)
+                except (NoResponseError, msgspec.DecodeError):
                     continue
-                if seen.refused >= AGREES:
-                    case.agreed = True
+                if seen.refused >= CONFIRMATIONS_NEEDED:
+                    case.confirmed = True
                     return
         finally:
             case.asking = False
-            if line.case is case and case.agreed:
+            if line.suspicion is case and case.confirmed:
                 with self._model.lock:
-                    self._judge(name, line, self._clock.now())
+                    self._review_suspicion(name, line, self._clock.now())
 
-    def _summon(self, name: str, case: Case, now: float) -> None:
+    def _request_sign_of_life(self, name: str, case: Suspicion, now: float) -> None:
         """Ask it through the state service."""
-        own = self._model.nodes.get(self._member.node)
+        own = self._model.controllers.get(self._member.node)
         if own is None:
             return
-        if case.summoned == 0:
-            case.summoned = own.version
-            self._member.doubts.add(name)
+        if case.summons_sent == 0:
+            case.summons_sent = own.version
+            self._member.suspected.add(name)
             self._member.announce_again()
-        elif case.shown_at is None and own.version > case.summoned:
-            if name in own.claim.doubts:
+        elif case.shown_at is None and own.version > case.summons_sent:
+            if name in own.record.suspected:
                 case.shown_at = now
             else:
                 # Written by the way, before it was to name it.
-                case.summoned = own.version
+                case.summons_sent = own.version
                 self._member.announce_again()
 
-    async def _end(self, name: str, line: Line, case: Case) -> None:
+    async def _revoke_lease(self, name: str, line: PeerState, case: Suspicion) -> None:
         took_s = self._clock.now() - line.first_at
         try:
             await self._state.revoke(case.lease, END_S)
-        except LeaseLost:
+        except LeaseExpiredError:
             log.debug("%s: its lease had ended", name)
             return
-        except Unavailable as error:
+        except StateUnavailableError as error:
             log.debug("%s: its lease is not ended: %s", name, error)
             case.ending = False
             return
         line.ended = line.process
         line.ends += 1
-        witnesses = f"{len(line.came)} workers came" if line.came else "a sibling agrees"
+        witnesses = (
+            f"{len(line.redirected_workers)} workers came"
+            if line.redirected_workers
+            else "a sibling agrees"
+        )
         log.info(
             "%s has ended: %d connections refused in %.2f s, %s; its lease %d is ended",
             name,
--- a/badgerseam/standby/soft_state.py
+++ b/badgerseam/standby/soft_state.py
@@ -14,17 +14,17 @@
 from badgerseam.model.keys import claim_key
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
-from badgerseam.model.state import Held, Share
+from badgerseam.model.state import ObservedClaim, Shard
 from badgerseam.options.standby import StandbyOptions
 from badgerseam.wire import standby as wire
 
-MOST_LOOKED_AT = 256
+MAX_MACHINES_SCANNED = 256
 """Machines looked at for an answer."""
 RECENT_S = 5.0
 """One that has not asked for so long does not follow us."""
-MOST_EVICTIONS = 8
-MOST_IMAGES = 16
-Blocked = dict[Offer, tuple[float, float]]
+MAX_EVICTIONS = 8
+MAX_IMAGES = 16
+BlockedOffers = dict[Offer, tuple[float, float]]
 """Offers without capacity: until when each is left alone, and the pause, in seconds."""
 
 _Mark = tuple[int, str, int, int, float, int]
@@ -35,16 +35,16 @@
     last = machine.evictions[-1] if machine.evictions else 0.0
     return (
         machine.term,
-        machine.addr,
-        machine.session,
-        machine.shown_token,
+        machine.address,
+        machine.incarnation,
+        machine.acknowledged_token,
         last,
         len(machine.images),
     )
 
 
 @dataclass(slots=True)
-class _Asker:
+class _Subscriber:
     """What one of those that stand by has been told."""
 
     number: int = 0
@@ -57,20 +57,22 @@
     counts: dict[int, tuple[int, int, int]] = field(default_factory=dict)
 
 
-class Source:
+class SoftStateSender:
     """The owner's side."""
 
     def __init__(
-        self, model: Model, options: StandbyOptions, process: str, blocked: Blocked
+        self, model: Model, options: StandbyOptions, process: str, blocked: BlockedOffers
     ) -> None:
         """`process`: the name of this process; `blocked`: the leader's, as it stands."""
         self._model = model
         self._most_bytes = round(options.hints_kb * 1024)
         self._process = process
         self._blocked = blocked
-        self._askers: dict[str, _Asker] = {}
+        self._askers: dict[str, _Subscriber] = {}
 
-    def tell(self, follow: wire.Follow, held: bool, leader_term: int) -> wire.Told:
+    def build_update(
+        self, follow: wire.FollowRequest, held: bool, leader_term: int
+    ) -> wire.SoftStateUpdate:
         """What has changed for an asker; called with the model's lock held.
 
         `held`: as the answer says; `leader_term`: the stamp of our claim on the leadership, or 0.
@@ -78,70 +80,70 @@
         asker = self._askers.get(follow.node)
         if asker is None or (follow.process, follow.number) != (self._process, asker.number):
             # It has not got what was told last, or has it of another process.
-            asker = self._askers[follow.node] = _Asker(follow.number)
+            asker = self._askers[follow.node] = _Subscriber(follow.number)
         asker.number += 1
         asker.asked_at = self._model.clock.now()
-        shares = self._shares(asker) if self._most_bytes else []
+        shards = self._shards(asker) if self._most_bytes else []
         now = self._model.clock.now()
         blocked = [
             wire.BlockedHint(o.type, o.zone, o.spot, round(until - now, 1), pause)
             for o, (until, pause) in self._blocked.items()
             if leader_term and until > now
         ]
-        return wire.Told(self._process, asker.number, held, shares, leader_term, blocked)
+        return wire.SoftStateUpdate(self._process, asker.number, held, shards, leader_term, blocked)
 
-    def warm(self, node: str) -> bool:
+    def is_caught_up(self, node: str) -> bool:
         """Whether a sibling has been told all there is, and still asks."""
         asker = self._askers.get(node)
         if asker is None or self._model.clock.now() - asker.asked_at > RECENT_S:
             return False
         return asker.rounds > 1 or not self._most_bytes or not asker.turn
 
-    def _shares(self, asker: _Asker) -> list[wire.ShareHint]:
+    def _shards(self, asker: _Subscriber) -> list[wire.ShardHint]:
         model = self._model
         rows: dict[int, list[wire.MachineHint]] = {}
         if not asker.turn:
             asker.rounds += 1
             asker.turn = [
                 index
-                for share in model.shares
-                if share.owned
-                for index in model.fleets[share.index]
+                for shard in model.shards
+                if shard.owned
+                for index in model.shard_machines[shard.index]
             ]
             if len(asker.marks) > 2 * len(asker.turn):
                 # Mostly of machines that are gone.
                 asker.marks.clear()
         left = self._most_bytes
-        for _ in range(min(MOST_LOOKED_AT, len(asker.turn))):
+        for _ in range(min(MAX_MACHINES_SCANNED, len(asker.turn))):
             if left <= 0:
                 break
             machine = model.machines.get(asker.turn.pop())
-            if machine is None or not model.shares[machine.share].owned:
+            if machine is None or not model.shards[machine.shard].owned:
                 continue
             mark = _mark(machine)
-            if machine.session == 0 or asker.marks.get(machine.name) == mark:
+            if machine.incarnation == 0 or asker.marks.get(machine.name) == mark:
                 continue
             asker.marks[machine.name] = mark
             row = self._row(machine)
-            rows.setdefault(machine.share, []).append(row)
+            rows.setdefault(machine.shard, []).append(row)
             left -= len(wire.encode(row))
         told = []
-        for share in model.shares:
-            counts = (share.term, share.finished, share.evicted)
-            if share.owned and (share.index in rows or asker.counts.get(share.index) != counts):
-                asker.counts[share.index] = counts
-                told.append(wire.ShareHint(share.index, *counts, rows.get(share.index, [])))
+        for shard in model.shards:
+            counts = (shard.term, shard.finished, shard.evicted)
+            if shard.owned and (shard.index in rows or asker.counts.get(shard.index) != counts):
+                asker.counts[shard.index] = counts
+                told.append(wire.ShardHint(shard.index, *counts, rows.get(shard.index, [])))
         return told
 
     def _row(self, machine: Machine) -> wire.MachineHint:
         now = self._model.clock.now()
         return wire.MachineHint(
             machine.name,
-            machine.addr,
-            machine.session,
-            machine.shown_token,
-            [round(now - at, 1) for at in list(machine.evictions)[-MOST_EVICTIONS:]],
-            sorted(machine.images)[:MOST_IMAGES],
+            machine.address,
+            machine.incarnation,
+            machine.acknowledged_token,
+            [round(now - at, 1) for at in list(machine.evictions)[-MAX_EVICTIONS:]],
+            sorted(machine.images)[:MAX_IMAGES],
         )
 
 
@@ -157,62 +159,62 @@
     """With the time at which each was told."""
 
 
-class Hints:
+class SoftStateReceiver:
     """The side of those that stand by."""
 
     def __init__(
-        self, model: Model, options: StandbyOptions, window_s: float, blocked: Blocked
+        self, model: Model, options: StandbyOptions, window_s: float, blocked: BlockedOffers
     ) -> None:
         """`window_s`: for how long an eviction counts; `blocked`: our own, filled at a takeover."""
         self._model = model
         self._age_s = options.hint_age_s
         self._window_s = window_s
         self._blocked = blocked
-        self._shares: dict[int, _Known] = {}
+        self._shards: dict[int, _Known] = {}
         self._offers: tuple[int, float, list[wire.BlockedHint]] = (0, -1e9, [])
         self._before: dict[str, int] = {}
         """Of each claim the stamp under which another held it last."""
 
-    def told(self, node: str, told: wire.Told) -> None:
+    def on_update(self, node: str, told: wire.SoftStateUpdate) -> None:
         """Keep what a sibling has told."""
         now = self._model.clock.now()
-        for hint in told.shares:
-            if not 0 <= hint.share < len(self._model.shares):
+        for hint in told.shards:
+            if not 0 <= hint.shard < len(self._model.shards):
                 continue
-            known = self._shares.get(hint.share)
+            known = self._shards.get(hint.shard)
             if known is not None and known.term > hint.term:
                 # Held back on its way, from an owner before.
                 continue
             if known is None or known.term < hint.term:
-                known = self._shares[hint.share] = _Known(hint.term)
+                known = self._shards[hint.shard] = _Known(hint.term)
             known.finished, known.evicted = hint.finished, hint.evicted
             known.machines.update({row.name: (now, row) for row in hint.machines})
-        for index, known in self._shares.items():
-            held = self._model.shares[index].held
+        for index, known in self._shards.items():
+            held = self._model.shards[index].claim
             # Nothing new is news as well: the owner is there, and nothing has changed.
-            if held and held.claim.node == node and held.version == known.term:
+            if held and held.record.node == node and held.version == known.term:
                 known.heard_at = now
         if told.leader_term >= self._offers[0] and told.leader_term:
             self._offers = (told.leader_term, now, told.blocked)
 
-    def look(self) -> None:
+    def observe_claims(self) -> None:
         """Note under which stamps others hold the claims; called a few times a second."""
         model = self._model
-        for share in model.shares:
-            if share.held is not None and not share.owned:
-                self._note(claim_key(share.index), share.held)
-        if model.leader is not None:
-            self._note("", model.leader)
-
-    def _note(self, key: str, held: Held) -> None:
-        if held.claim.node != self._model.settings.node:
+        for shard in model.shards:
+            if shard.claim is not None and not shard.owned:
+                self._note(claim_key(shard.index), shard.claim)
+        if model.leader_claim is not None:
+            self._note("", model.leader_claim)
+
+    def _note(self, key: str, held: ObservedClaim) -> None:
+        if held.record.node != self._model.settings.node:
             self._before[key] = held.version
 
-    def use(self, share: Share | None) -> int:
+    def apply_to(self, shard: Shard | None) -> int:
         """Warm up for what is about to be acted for: a share, or (None) the leadership. How many
         hints were used: those of the very claim that ours replaces, and no older than the bound."""
         now = self._model.clock.now()
-        if share is None:
+        if shard is None:
             term, at, offers = self._offers
             if term != self._before.get("") or now - at > self._age_s:
                 return 0
@@ -222,21 +224,21 @@
                     offer = Offer(hint.type, hint.zone, hint.spot)
                     self._blocked.setdefault(offer, (now + left, hint.pause_s))
             return len(offers)
-        known = self._shares.pop(share.index, None)
-        if known is None or known.term != self._before.get(claim_key(share.index)):
+        known = self._shards.pop(shard.index, None)
+        if known is None or known.term != self._before.get(claim_key(shard.index)):
             return 0
         if now - known.heard_at > self._age_s:
             return 0
-        share.finished = max(share.finished, known.finished)
-        share.evicted = max(share.evicted, known.evicted)
-        return sum(self._warm(share, at, row, now) for at, row in known.machines.values())
+        shard.finished = max(shard.finished, known.finished)
+        shard.evicted = max(shard.evicted, known.evicted)
+        return sum(self._apply_machine(shard, at, row, now) for at, row in known.machines.values())
 
-    def _warm(self, share: Share, at: float, row: wire.MachineHint, now: float) -> bool:
+    def _apply_machine(self, shard: Shard, at: float, row: wire.MachineHint, now: float) -> bool:
         machine = self._model.machine(row.name)
-        if machine is None or machine.share != share.index:
+        if machine is None or machine.shard != shard.index:
             # Gone, or moved since.
             return False
-        machine.addr = machine.addr or row.addr
+        machine.address = machine.address or row.address
         machine.images.update(row.images)
         if not machine.evictions:
             ages = (age + now - at for age in row.evictions)
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from badgerseam.cluster.availability import Away
-from badgerseam.cluster.membership import STEADY_S, Member
+from badgerseam.cluster.availability import UnavailableReason
+from badgerseam.cluster.membership import STEADY_S, Membership
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.model import Model
-from badgerseam.model.state import Held, Share
+from badgerseam.model.state import ObservedClaim, Shard
 from badgerseam.options.standby import StandbyOptions
 from badgerseam.settings import Tunables
-from badgerseam.standby.failure_detector import HOLD_S, Ask, Watch
-from badgerseam.standby.soft_state import Blocked, Hints, Source
-from badgerseam.standby.takeover_gate import Gate
+from badgerseam.standby.failure_detector import HOLD_S, Ask, FailureDetector
+from badgerseam.standby.soft_state import BlockedOffers, SoftStateReceiver, SoftStateSender
+from badgerseam.standby.takeover_gate import TakeoverGate
 from badgerseam.store.client import StateClient
 from badgerseam.wire import standby as wire
 
@@ -24,22 +24,22 @@
 
 ENDS_S = 120.0
 """For so long an end of a home makes it wait for its share at the next one."""
-MOST_STEADY_S = 60.0
+MAX_STEADY_S = 60.0
 
 
-class Standby:
+class WarmStandby:
     """Gate, watch and hints of this controller."""
 
     def __init__(
         self,
         model: Model,
-        member: Member,
+        member: Membership,
         state: StateClient,
         options: StandbyOptions,
         tunables: Tunables,
         ask: Ask,
         process: str,
-        blocked: Blocked,
+        blocked: BlockedOffers,
     ) -> None:
         """`process`: a name that no other process has; `blocked`: the leader's offers without
         capacity."""
@@ -47,33 +47,35 @@
         self._member = member
         self._clock = model.clock
         self._step_s = options.probe_s / 2
-        self.gate = Gate(model, member, options, tunables.claim_ttl_s, self._passed)
-        self.hints = Hints(model, options, tunables.window_s, blocked)
-        self.source = Source(model, options, process, blocked)
-        self.watch = Watch(model, member, state, options, ask, self.gate.steady, self.hints.told)
+        self.gate = TakeoverGate(model, member, options, tunables.claim_ttl_s, self._on_takeover)
+        self.soft_state = SoftStateReceiver(model, options, tunables.window_s, blocked)
+        self.soft_state_sender = SoftStateSender(model, options, process, blocked)
+        self.failure_detector = FailureDetector(
+            model, member, state, options, ask, self.gate.is_steady, self.soft_state.on_update
+        )
         self._lives: dict[str, tuple[int, list[float]]] = {}
         """Of each sibling the lease that its record stands on, and when that has changed."""
 
-    def _passed(self, share: Share | None, held: Held) -> None:
-        used = self.hints.use(share)
-        what = "the leadership" if share is None else f"share {share.index}"
+    def _on_takeover(self, shard: Shard | None, held: ObservedClaim) -> None:
+        used = self.soft_state.apply_to(shard)
+        what = "the leadership" if shard is None else f"share {shard.index}"
         log.info("%s: taken under term %d with %d hints", what, held.version, used)
 
     # ---- what the membership asks ----
 
-    def passes(self, share: Share, held: Held) -> bool:
+    def may_act_on_shard(self, shard: Shard, held: ObservedClaim) -> bool:
         """See Gate."""
-        return self.gate.passes(share, held)
+        return self.gate.may_act_on_shard(shard, held)
 
-    def leads(self, held: Held) -> bool:
+    def may_act_as_leader(self, held: ObservedClaim) -> bool:
         """See Gate."""
-        return self.gate.leads(held)
+        return self.gate.may_act_as_leader(held)
 
     def may_claim(self, key: str) -> bool:
         """See Gate."""
         return self.gate.may_claim(key)
 
-    def may_return(self, home: str, alive_s: float) -> bool:
+    def may_return_home(self, home: str, alive_s: float) -> bool:
         """Whether a share may go back to its home, which has been there for `alive_s`.
 
         It has to follow us, so that what we know goes with the share, and each end of its in the
@@ -83,10 +85,10 @@
         now = self._clock.now()
         ends = [at for at in self._lives.get(home, (0, []))[1] if now - at < ENDS_S]
         steady_s = STEADY_S * 2.0 ** max(0, len(ends) - 1)
-        if alive_s > MOST_STEADY_S:
+        if alive_s > MAX_STEADY_S:
             # It may have no standby, and never ask.
             return True
-        return alive_s > steady_s and self.source.warm(home)
+        return alive_s > steady_s and self.soft_state_sender.is_caught_up(home)
 
     # ---- driving ----
 
@@ -103,13 +105,13 @@
             if not model.loaded:
                 return
             self.gate.review()
-            self.hints.look()
-            for name, held in model.nodes.items():
-                lease, changes = self._lives.get(name, (held.claim.lease, []))
-                if lease != held.claim.lease:
+            self.soft_state.observe_claims()
+            for name, held in model.controllers.items():
+                lease, changes = self._lives.get(name, (held.record.lease, []))
+                if lease != held.record.lease:
                     changes = [*changes[-9:], self._clock.now()]
-                self._lives[name] = held.claim.lease, changes
-            self.watch.step()
+                self._lives[name] = held.record.lease, changes
+            self.failure_detector.step()
 
     # ---- siblings' requests ----
 
@@ -117,25 +119,25 @@
         """A sibling's request, to /standby/follow or /standby/view."""
         try:
             if path == "/standby/view":
-                view = wire.view_decoder.decode(body)
-                return Reply(200, wire.encode(self.watch.seen(view.node)))
+                view = wire.peer_view_request_decoder.decode(body)
+                return Reply(200, wire.encode(self.failure_detector.view_of(view.node)))
             if path == "/standby/follow":
-                return await self._hold(wire.follow_decoder.decode(body))
+                return await self._hold_request(wire.follow_request_decoder.decode(body))
         except msgspec.DecodeError:
             return error_reply(400, "not a request of one that stands by")
         return error_reply(404, "no such path")
 
-    async def _hold(self, follow: wire.Follow) -> Reply:
+    async def _hold_request(self, follow: wire.FollowRequest) -> Reply:
         # One that leaves may end only when no request of it is open.
-        held = not self._member.away(Away.LEAVING)
+        held = not self._member.is_unavailable(UnavailableReason.DRAINING)
         if held:
             await asyncio.sleep(HOLD_S)
-        return Reply(200, wire.encode(self.tell(follow, held)))
+        return Reply(200, wire.encode(self.build_update(follow, held)))
 
-    def tell(self, follow: wire.Follow, held: bool) -> wire.Told:
+    def build_update(self, follow: wire.FollowRequest, held: bool) -> wire.SoftStateUpdate:
         """What a sibling is told."""
         with self._model.lock:
-            leader = self._model.leader
-            leads = leader is not None and leader.claim.node == self._member.node
+            leader = self._model.leader_claim
+            leads = leader is not None and leader.record.node == self._member.node
             term = leader.version if leader is not None and leads else 0
-            return self.source.tell(follow, held, term)
+            return self.soft_state_sender.build_update(follow, held, term)
--- a/badgerseam/store/client.py
+++ b/badgerseam/store/client.py
@@ -10,33 +10,34 @@
 import msgspec
 
 from badgerseam.clock import Clock
-from badgerseam.http.budget import Budget
-from badgerseam.http.client import Client, NoResponse
+from badgerseam.errors import BadgerseamError
+from badgerseam.http.budget import RateBudget
+from badgerseam.http.client import HttpClient, NoResponseError
 from badgerseam.settings import StateParams
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.store")
 
-FOLLOWING = 0.5
+WATCH_REQUEST_FRACTION = 0.5
 """Part of a second's requests that following the changes may take."""
 
 _T = TypeVar("_T")
 
 
-class Unavailable(Exception):
+class StateUnavailableError(BadgerseamError):
     """The state service did not execute the request, or did not answer."""
 
 
-class Unknown(Unavailable):
+class OutcomeUnknownError(StateUnavailableError):
     """No response: the request may have been executed, or may be later."""
 
 
-class Malformed(Unavailable):
+class MalformedRequestError(StateUnavailableError):
     """The state service says that the request breaks its protocol: sent again it would be refused
     again."""
 
 
-class Refused(Exception):
+class ConditionFailedError(BadgerseamError):
     """A condition failed; `failed` names the keys."""
 
     def __init__(self, failed: list[str]) -> None:
@@ -44,11 +45,11 @@
         self.failed = failed
 
 
-class LeaseLost(Exception):
+class LeaseExpiredError(BadgerseamError):
     """The state service no longer knows the lease."""
 
 
-class TooOld(Exception):
+class RevisionCompactedError(BadgerseamError):
     """The revision to follow from is no longer kept."""
 
 
@@ -58,7 +59,7 @@
     def __init__(
         self,
         clock: Clock,
-        http: Client,
+        http: HttpClient,
         address: str,
         params: StateParams,
         nodes: int,
@@ -70,8 +71,8 @@
         self._random = random
         self.params = params
         # A tenth is left over, since clocks and bursts of the siblings differ.
-        self.requests = Budget(clock, 0.9 * params.rps / nodes)
-        self.writes = Budget(clock, 0.95 * params.write_rps / nodes)
+        self.requests = RateBudget(clock, 0.9 * params.rps / nodes)
+        self.writes = RateBudget(clock, 0.95 * params.write_rps / nodes)
         self.confirmed_at = -1e9
         """Sending time of the latest request that was answered."""
         self._follow_at = -1e9
@@ -92,19 +93,19 @@
         while not self.requests.take(1.0, spared):
             wait_s = self.requests.wait_s(1.0, spared) + 0.002
             if self._clock.now() + wait_s > until:
-                raise Unavailable("requests of this controller are used up")
+                raise StateUnavailableError("requests of this controller are used up")
             await asyncio.sleep(wait_s)
         sent = self._clock.now()
         try:
             response = await self._http.request(self._address, method, path, body, deadline_s)
-        except NoResponse as error:
-            raise Unknown(str(error)) from error
+        except NoResponseError as error:
+            raise OutcomeUnknownError(str(error)) from error
         self.responses += 1
         if response.status == 429:
             self.requests.penalize(0.1)
-            raise Unavailable("429")
+            raise StateUnavailableError("429")
         if response.status >= 500:
-            raise Unavailable(str(response.status))
+            raise StateUnavailableError(str(response.status))
         self.confirmed_at = max(self.confirmed_at, sent)
         return response.status, response.body
 
@@ -125,7 +126,7 @@
         status, body = await self._call("GET", path, None, 5.0)
         return _decode(wire.key_page_decoder, status, body)
 
-    async def transact(
+    async def compare_and_swap(
         self,
         conditions: list[wire.Condition],
         then: list[wire.Write],
@@ -139,11 +140,11 @@
         body = wire.encode(wire.Transaction(conditions, then))
         status, reply = await self._call("POST", "/txn", body, deadline_s, spared)
         if status == 409:
-            raise Refused(_decode(wire.committed_decoder, 200, reply).failed)
+            raise ConditionFailedError(_decode(wire.committed_decoder, 200, reply).failed)
         if status == 400 and any(write.lease is not None for write in then):
-            raise LeaseLost("transaction")
+            raise LeaseExpiredError("transaction")
         if status == 400:
-            raise Malformed(f"400: {reply[:200]!r}")
+            raise MalformedRequestError(f"400: {reply[:200]!r}")
         return _decode(wire.committed_decoder, status, reply).revision
 
     async def grant(self, ttl_s: float) -> int:
@@ -152,21 +153,21 @@
         status, reply = await self._call("POST", "/leases", body, 1.5)
         return _decode(wire.lease_decoder, status, reply).lease
 
-    async def extend(self, lease: int, deadline_s: float) -> None:
+    async def renew(self, lease: int, deadline_s: float) -> None:
         """Renew a lease; LeaseLost if it has ended."""
         status, _ = await self._call("POST", f"/leases/{lease}/extend", b"{}", deadline_s)
         if status == 404:
-            raise LeaseLost(str(lease))
+            raise LeaseExpiredError(str(lease))
         if status != 200:
-            raise Unavailable(f"extend: {status}")
+            raise StateUnavailableError(f"extend: {status}")
 
     async def revoke(self, lease: int, deadline_s: float) -> None:
         """End a lease, whoever holds it, and with it the keys on it; LeaseLost if it has ended."""
         status, _ = await self._call("DELETE", f"/leases/{lease}", None, deadline_s)
         if status == 404:
-            raise LeaseLost(str(lease))
+            raise LeaseExpiredError(str(lease))
         if status != 200:
-            raise Unavailable(f"revoke: {status}")
+            raise StateUnavailableError(f"revoke: {status}")
 
     async def follow(self, prefix: str, revision: int, wait_s: float) -> wire.Changes:
         """The changes after a revision; TooOld if they are not kept any more.
@@ -176,13 +177,15 @@
         """
         now = self._clock.now()
         pause_s = self._follow_at - now
-        self._follow_at = max(now, self._follow_at) + 1.0 / (FOLLOWING * self.requests.per_s)
+        self._follow_at = max(now, self._follow_at) + 1.0 / (
+            WATCH_REQUEST_FRACTION * self.requests.per_s
+        )
         if pause_s > 0:
             await asyncio.sleep(pause_s)
         path = f"/follow?under={prefix}&from={revision}&waitMs={round(wait_s * 1000)}"
         status, body = await self._call("GET", path, None, wait_s + 3.0)
         if status == 410:
-            raise TooOld(str(revision))
+            raise RevisionCompactedError(str(revision))
         return _decode(wire.changes_decoder, status, body)
 
     async def pause(self, failures: int) -> None:
@@ -193,8 +196,8 @@
 
 def _decode(decoder: msgspec.json.Decoder[_T], status: int, body: bytes) -> _T:
     if status != 200:
-        raise Unavailable(f"{status}: {body[:200]!r}")
+        raise StateUnavailableError(f"{status}: {body[:200]!r}")
     try:
         return decoder.decode(body)
     except msgspec.DecodeError as error:
-        raise Unavailable(f"undecodable: {error}") from error
+        raise StateUnavailableError(f"undecodable: {error}") from error
--- a/badgerseam/store/committer.py
+++ b/badgerseam/store/committer.py
@@ -12,13 +12,21 @@
 
 from badgerseam.background import BackgroundTasks
 from badgerseam.clock import Clock
-from badgerseam.store.client import LeaseLost, Malformed, Refused, StateClient, Unavailable, Unknown
+from badgerseam.errors import BadgerseamError
+from badgerseam.store.client import (
+    ConditionFailedError,
+    LeaseExpiredError,
+    MalformedRequestError,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+)
 from badgerseam.wire.state import Condition, Transaction, Write, encode
 
 log = logging.getLogger("badgerseam.store")
 
-MOST_BYTES = 56 * 1024
-IN_FLIGHT = 3
+MAX_TRANSACTION_BYTES = 56 * 1024
+MAX_IN_FLIGHT = 3
 
 
 class Urgency(IntEnum):
@@ -29,25 +37,25 @@
     PLACE = 2
     DONE = 3
     UPKEEP = 4
-    CARRY = 5
+    MIGRATE = 5
 
 
-RESERVE = {
+WRITE_RESERVE = {
     Urgency.CLAIM: 0.0,
     Urgency.USER: 0.0,
     Urgency.PLACE: 0.0,
     Urgency.DONE: 0.15,
     Urgency.UPKEEP: 0.4,
-    Urgency.CARRY: 0.5,
+    Urgency.MIGRATE: 0.5,
 }
 """Part of the burst that an urgency leaves alone."""
 
 
-class Rejected(Unavailable):
+class ProposalRejectedError(StateUnavailableError):
     """The state service calls the proposal malformed: it was not executed, and never will be."""
 
 
-class Dropped(Exception):
+class ProposalDroppedError(BadgerseamError):
     """The proposal was no longer wanted before it was known to be committed."""
 
 
@@ -77,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class Waits:
+class WaitStats:
     """From proposing to the answer."""
 
     count: int = 0
@@ -92,7 +100,7 @@
         self.most_s = max(self.most_s, wait_s)
 
 
-class Committer:
+class GroupCommitter:
     """Sends proposals, in order of urgency, within the write budget."""
 
     def __init__(self, clock: Clock, state: StateClient) -> None:
@@ -105,17 +113,17 @@
         self._timer: asyncio.TimerHandle | None = None
         self._failures = 0
         self._not_before = 0.0
-        self._waits = {urgency: Waits() for urgency in Urgency}
+        self._wait_stats = {urgency: WaitStats() for urgency in Urgency}
 
     def report(self) -> str:
         """How many writes each urgency has had since the last report, and their waits."""
         parts = [
             f"{urgency.name.lower()} {waits.writes} (wait {waits.total_s / waits.count:.2f} s, "
             f"most {waits.most_s:.2f} s)"
-            for urgency, waits in self._waits.items()
+            for urgency, waits in self._wait_stats.items()
             if waits.count
         ]
-        self._waits = {urgency: Waits() for urgency in Urgency}
+        self._wait_stats = {urgency: WaitStats() for urgency in Urgency}
         return f"writes: {', '.join(parts) or 'none'}; {len(self._queue)} wait"
 
     async def commit(
@@ -152,25 +160,25 @@
         proposal.keys = frozenset(write.put or write.delete or "" for write in writes)
         if patience_s is not None:
             proposal.patient_until = proposal.since + patience_s
-            loop.call_later(patience_s, self._hurry, proposal)
+            loop.call_later(patience_s, self._promote, proposal)
         if turn and deadline_s is not None:
             # Behind a stream of others for good, it would never be answered.
             proposal.turn = turn
             loop.call_later(deadline_s / 2, self._in_turn, proposal)
         self._push(proposal)
-        self._pump()
+        self._send_ready()
         return await proposal.future
 
     def _in_turn(self, proposal: Proposal) -> None:
         if not proposal.future.done():
             proposal.turn = 0
-            self._hurry(proposal)
+            self._promote(proposal)
 
-    def _hurry(self, proposal: Proposal) -> None:
+    def _promote(self, proposal: Proposal) -> None:
         """A proposal has waited behind more urgent ones for as long as it may."""
         if not proposal.future.done() and not proposal.sent:
             self._push(proposal)
-            self._pump()
+            self._send_ready()
 
     def _push(self, proposal: Proposal) -> None:
         until = proposal.patient_until
@@ -179,19 +187,19 @@
         place = next(self._order)
         heapq.heappush(self._queue, (int(proposal.urgency), proposal.turn, place, proposal))
 
-    def _again(self, proposal: Proposal) -> None:
+    def _requeue(self, proposal: Proposal) -> None:
         proposal.sent = False
         self._push(proposal)
 
-    def _pump(self) -> None:
-        while self._queue and self._in_flight < IN_FLIGHT:
+    def _send_ready(self) -> None:
+        while self._queue and self._in_flight < MAX_IN_FLIGHT:
             now = self._clock.now()
             batch = self._gather(now)
             if not batch:
                 break
             self._in_flight += 1
             self._tasks.spawn(self._send(batch))
-        if self._queue and self._timer is None and self._in_flight < IN_FLIGHT:
+        if self._queue and self._timer is None and self._in_flight < MAX_IN_FLIGHT:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(self._wait_s(), self._tick)
 
@@ -209,10 +217,10 @@
 
     def _tick(self) -> None:
         self._timer = None
-        self._pump()
+        self._send_ready()
 
     def _reserve(self, urgency: Urgency) -> float:
-        return RESERVE[urgency] * self._state.writes.burst
+        return WRITE_RESERVE[urgency] * self._state.writes.burst
 
     def _gather(self, now: float) -> list[Proposal]:
         """Take the most urgent proposals that fit together into one transaction."""
@@ -231,10 +239,10 @@
                 # Pushed again since, with a higher one.
                 continue
             if proposal.wanted is not None and not proposal.wanted():
-                proposal.future.set_exception(Dropped())
+                proposal.future.set_exception(ProposalDroppedError())
                 continue
             if proposal.deadline is not None and now >= proposal.deadline:
-                proposal.future.set_exception(Unavailable("deadline"))
+                proposal.future.set_exception(StateUnavailableError("deadline"))
                 continue
             if now < self._not_before:
                 left.append(item)
@@ -243,7 +251,7 @@
             fits = (
                 operations + len(proposal.writes) <= params.txn_ops
                 and len(merged) <= 4 * params.txn_ops
-                and size + proposal.size <= MOST_BYTES
+                and size + proposal.size <= MAX_TRANSACTION_BYTES
                 and not keys & proposal.keys
                 and all(conditions.get(k, v) == v for k, v in proposal.conditions.items())
                 # A lease that has ended fails the whole transaction, so it is asked alone.
@@ -275,29 +283,29 @@
             conditions |= proposal.conditions
         then = [write for proposal in batch for write in proposal.writes]
         try:
-            revision = await self._state.transact(
+            revision = await self._state.compare_and_swap(
                 [Condition(key, version) for key, version in conditions.items()], then
             )
-        except Refused as refusal:
+        except ConditionFailedError as refusal:
             self._failures = 0
             for proposal in batch:
                 failed = [key for key in refusal.failed if key in proposal.conditions]
                 if proposal.future.done():
                     continue
                 if failed:
-                    proposal.future.set_exception(Refused(failed))
+                    proposal.future.set_exception(ConditionFailedError(failed))
                 else:
-                    self._again(proposal)
-        except LeaseLost as error:
+                    self._requeue(proposal)
+        except LeaseExpiredError as error:
             for proposal in batch:
                 if not proposal.future.done():
                     proposal.future.set_exception(error)
-        except Malformed as error:
+        except MalformedRequestError as error:
             self._malformed(batch, error)
-        except Unavailable as error:
+        except StateUnavailableError as error:
             for proposal in batch:
-                proposal.uncertain = proposal.uncertain or isinstance(error, Unknown)
-                self._again(proposal)
+                proposal.uncertain = proposal.uncertain or isinstance(error, OutcomeUnknownError)
+                self._requeue(proposal)
             self._failures += 1
             if str(error) == "429":
                 self._state.writes.penalize(0.2)
@@ -306,20 +314,20 @@
             self._failures = 0
             now = self._clock.now()
             for proposal in batch:
-                self._waits[proposal.urgency].add(len(proposal.writes), now - proposal.since)
+                self._wait_stats[proposal.urgency].add(len(proposal.writes), now - proposal.since)
                 if not proposal.future.done():
                     proposal.future.set_result(revision)
         finally:
             self._in_flight -= 1
-            self._pump()
+            self._send_ready()
 
-    def _malformed(self, batch: list[Proposal], error: Malformed) -> None:
+    def _malformed(self, batch: list[Proposal], error: MalformedRequestError) -> None:
         """One proposal that can never be written must not hold up the others for ever."""
         for proposal in batch:
             if len(batch) > 1:
                 proposal.alone = True
-                self._again(proposal)
+                self._requeue(proposal)
             elif not proposal.future.done():
                 keys = ", ".join(sorted(proposal.keys))
                 log.error("not written, since the state service takes it for malformed: %s", keys)
-                proposal.future.set_exception(Rejected(str(error)))
+                proposal.future.set_exception(ProposalRejectedError(str(error)))
--- a/badgerseam/store/job_records.py
+++ b/badgerseam/store/job_records.py
@@ -10,8 +10,8 @@
 from badgerseam.model.job import PHASE_NAMES, Job, Phase
 from badgerseam.model.keys import job_key
 from badgerseam.model.model import Model
-from badgerseam.store.client import Refused, StateClient, Unavailable
-from badgerseam.store.committer import Committer, Urgency
+from badgerseam.store.client import ConditionFailedError, StateClient, StateUnavailableError
+from badgerseam.store.committer import GroupCommitter, Urgency
 from badgerseam.wire import state as wire
 from badgerseam.wire.accounting import Usage
 from badgerseam.wire.users import Submission
@@ -19,21 +19,21 @@
 USER_DEADLINE_S = 1.5
 """A user who can't be served is told so soon, not when the patience is nearly over."""
 READ_DEADLINE_S = 1.0
-READ_TRIES = 3
+MAX_READ_ATTEMPTS = 3
 """Reads of a record that is not found, and comes to be known each time until the answer arrives."""
 
 Change = Callable[[Job], tuple[Submission, dict[str, int]]]
 """A job's description with other terms, and conditions on other keys under which it holds."""
 
 
-class JobRecords:
+class JobStore:
     """Writes and reads the records of jobs, whoever owns their shares."""
 
     def __init__(
         self,
         model: Model,
         state: StateClient,
-        committer: Committer,
+        committer: GroupCommitter,
         changed: Callable[[], None],
     ) -> None:
         self._model = model
@@ -57,9 +57,9 @@
                 USER_DEADLINE_S,
                 turn=0 if self.class_of is None else self.class_of(spec),
             )
-        except Refused:
+        except ConditionFailedError:
             if await self.read(spec.id) is None:
-                raise Unavailable("refused, but not found") from None
+                raise StateUnavailableError("refused, but not found") from None
             return False
         with model.lock:
             model.apply(key, value, revision)
@@ -87,9 +87,11 @@
                     if job_id in model.ended or model.job(job_id) is not None or not stored.spec:
                         continue
                 # Of a team that the settings no longer name.
-                spec, submitted = stored.spec, stored.at
+                spec, submitted = stored.spec, stored.accepted_at
             final = wire.StoredJob("withdrawn", spec.tasks, submitted, spec)
-            value = wire.raw(final if job is None else self.final(job, "withdrawn", spec, None))
+            value = wire.raw(
+                final if job is None else self.final_record(job, "withdrawn", spec, None)
+            )
             try:
                 revision = await self._committer.commit(
                     Urgency.USER,
@@ -97,14 +99,14 @@
                     [wire.Write(put=key, value=value)],
                     USER_DEADLINE_S,
                 )
-            except Refused:
+            except ConditionFailedError:
                 await self.read(job_id)
                 continue
             with model.lock:
                 model.apply(key, value, revision)
             self._changed()
-            return Phase.WITHDRAWN
-        raise Unavailable("the job keeps changing")
+            return Phase.CANCELLED
+        raise StateUnavailableError("the job keeps changing")
 
     async def amend(self, job_id: str, change: Change) -> Job | Phase | None:
         """Make changed terms of an open job durable: the job as it is then, or the phase of one
@@ -129,7 +131,7 @@
             spec, also = asked
             # A change that changes nothing is confirmed all the same: what we know may be old.
             stored = wire.StoredJob(
-                "open", job.tasks, round(job.submitted, 3), spec, None, job.place
+                "open", job.tasks, round(job.submitted, 3), spec, None, job.queue_position
             )
             value = wire.raw(stored)
             writes = [] if spec == job.spec else [wire.Write(put=key, value=value)]
@@ -137,7 +139,7 @@
                 revision = await self._committer.commit(
                     Urgency.USER, also | {key: job.version}, writes, USER_DEADLINE_S
                 )
-            except Refused as refusal:
+            except ConditionFailedError as refusal:
                 for name in refusal.failed:
                     await self.read(name.rpartition("/")[2])
                 continue
@@ -146,7 +148,7 @@
                     model.apply(key, value, revision)
                 self._changed()
             return job
-        raise Unavailable("the job keeps changing")
+        raise StateUnavailableError("the job keeps changing")
 
     async def read(self, job_id: str, spared: float = 0.0) -> Phase | None:
         """A job's phase as the state service has it now; None only if it answers so. `spared`: the
@@ -160,7 +162,7 @@
 
     async def _fetch(self, job_id: str, spared: float = 0.0) -> tuple[wire.StoredJob, int] | None:
         """A job's record as the state service has it now, taken over, and its stamp."""
-        for _ in range(READ_TRIES):
+        for _ in range(MAX_READ_ATTEMPTS):
             entry = await self._state.get(job_key(job_id), READ_DEADLINE_S, spared)
             if entry is not None:
                 with self._model.lock:
@@ -172,16 +174,16 @@
             # Accepted while the answer was on its way, its user has perhaps been told: read again.
             if not known:
                 return None
-        raise Unavailable("known, but not found")
+        raise StateUnavailableError("known, but not found")
 
-    def final(
+    def final_record(
         self, job: Job, state: str, spec: Submission | None, usage: Usage | None
     ) -> wire.StoredJob:
         """A job's final record; of one that belongs to a plan of runs, with what tells its run."""
-        watch, at = self._model.watch, round(job.submitted, 3)
+        watch, at = self._model.job_observer, round(job.submitted, 3)
         plan = None if watch is None else watch.plan_of(job)
         if plan is None:
             return wire.StoredJob(state, job.tasks, at, spec, usage)
         return wire.StoredMember(
-            state, job.tasks, at, spec, usage, job.place, plan, job.durably_done()
+            state, job.tasks, at, spec, usage, job.queue_position, plan, job.durably_done()
         )
--- a/badgerseam/store/ledger.py
+++ b/badgerseam/store/ledger.py
@@ -11,11 +11,16 @@
 from badgerseam.model.job import Job, Phase, Stage
 from badgerseam.model.keys import LEVEL_KEY, claim_key, counts_key, job_key, page_key
 from badgerseam.model.model import Model
-from badgerseam.model.state import Page, Share
-from badgerseam.store.client import Refused, StateClient, Unavailable
-from badgerseam.store.committer import Committer, Dropped, Rejected, Urgency
-from badgerseam.store.job_records import JobRecords
-from badgerseam.store.task_log import Draft, compose, refresh
+from badgerseam.model.state import Page, Shard
+from badgerseam.store.client import ConditionFailedError, StateClient, StateUnavailableError
+from badgerseam.store.committer import (
+    GroupCommitter,
+    ProposalDroppedError,
+    ProposalRejectedError,
+    Urgency,
+)
+from badgerseam.store.job_records import JobStore
+from badgerseam.store.task_log import Draft, compose_draft, compose_refresh
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.store")
@@ -30,22 +35,22 @@
 """A refreshed page keeps the share from writing anything else: it is given up if it has to wait."""
 
 
-class Ledger(JobRecords):
+class Ledger(JobStore):
     """Writes jobs and tasks; the shares' part of it only for shares that are owned."""
 
     def __init__(
         self,
         model: Model,
         state: StateClient,
-        committer: Committer,
+        committer: GroupCommitter,
         changed: Callable[[], None],
-        resign: Callable[[Share], None],
+        resign: Callable[[Shard], None],
     ) -> None:
         super().__init__(model, state, committer, changed)
         self._resign = resign
         self._tasks = BackgroundTasks()
         self._timer: asyncio.TimerHandle | None = None
-        self._closing = False
+        self._summaries_in_flight = False
 
     # ---- for owned shares ----
 
@@ -54,55 +59,59 @@
         model = self._model
         now = model.clock.now()
         with model.lock:
-            for index in list(model.ending):
+            for index in list(model.jobs_ending):
                 job = model.jobs[index] if index < len(model.jobs) else None
-                if job is None or not job.ending or not model.shares[job.share].owned:
-                    model.ending.discard(index)
+                if job is None or not job.ending or not model.shards[job.shard].owned:
+                    model.jobs_ending.discard(index)
                 elif not job.end_sent:
                     job.end_sent = True
                     self._spawn(self._end(job))
-            for share in model.shares:
+            for shard in model.shards:
                 # At a level that we do not fit nothing is composed any more, known to the
                 # replica or not.
-                if share.owned and not share.committing and model.fits:
-                    self._flush_share(share, now)
+                if shard.owned and not shard.committing and model.is_supported:
+                    self._flush_shard(shard, now)
 
-    def _flush_share(self, share: Share, now: float) -> None:
+    def _flush_shard(self, shard: Shard, now: float) -> None:
         """Write the share's tasks, if there is anything to write and the budget allows it now.
 
         What has to wait is not queued: it goes with all that has gathered by then.
         """
-        planned = bool(share.planned)
-        noted = self._model.active(Behaviour.NOTES) and (
-            bool(share.notes_due) or any(due <= now for due in share.notes_ride.values())
+        planned = bool(shard.planned)
+        noted = self._model.is_active(Behaviour.NOTES) and (
+            bool(shard.notes_due) or any(due <= now for due in shard.notes_deferred.values())
         )
-        if not planned and not noted and not any(due <= now for due in share.bits_due.values()):
+        if (
+            not planned
+            and not noted
+            and not any(due <= now for due in shard.completions_due.values())
+        ):
             return
         urgency = Urgency.PLACE if planned else Urgency.DONE
         wait_s = self._committer.wait_s(urgency)
         if wait_s > 0:
             if planned and self._timer is None:
                 loop = asyncio.get_running_loop()
-                self._timer = loop.call_later(wait_s + 0.001, self._wake)
+                self._timer = loop.call_later(wait_s + 0.001, self._on_timer)
             return
-        draft = compose(self._model, share)
+        draft = compose_draft(self._model, shard)
         if draft.pages:
-            share.committing = True
-            self._spawn(self._write(share, draft, urgency))
+            shard.committing = True
+            self._spawn(self._write(shard, draft, urgency))
 
-    def refresh(self, share: Share, number: int) -> bool:
+    def refresh(self, shard: Shard, number: int) -> bool:
         """Write one page anew in the level's form, behind everything urgent; False if the share
         is busy with another write."""
-        if share.committing or not share.owned or not self._model.fits:
+        if shard.committing or not shard.owned or not self._model.is_supported:
             return False
-        draft = refresh(self._model, share, number)
+        draft = compose_refresh(self._model, shard, number)
         if draft is None:
             return False
-        share.committing = True
-        self._spawn(self._write(share, draft, Urgency.UPKEEP, REFRESH_S))
+        shard.committing = True
+        self._spawn(self._write(shard, draft, Urgency.UPKEEP, REFRESH_S))
         return True
 
-    def _wake(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self._changed()
 
@@ -110,10 +119,10 @@
         self._tasks.spawn(work)
 
     async def _write(
-        self, share: Share, draft: Draft, urgency: Urgency, deadline_s: float | None = None
+        self, shard: Shard, draft: Draft, urgency: Urgency, deadline_s: float | None = None
     ) -> None:
-        term = share.term
-        values = {key: wire.raw(value) for key, value in draft.values(share).items()}
+        term = shard.term
+        values = {key: wire.raw(value) for key, value in draft.values(shard).items()}
         writes = [wire.Write(put=key, value=value) for key, value in values.items()]
         try:
             revision = await self._committer.commit(
@@ -121,35 +130,35 @@
                 draft.conditions,
                 writes,
                 deadline_s,
-                wanted=lambda: share.owned and share.term == term,
+                wanted=lambda: shard.owned and shard.term == term,
             )
-        except Dropped:
+        except ProposalDroppedError:
             pass
-        except Rejected:
-            self._take_back(share, draft, {attempt.job.id for attempt in draft.planned}, term)
-        except Unavailable:
-            log.debug("share %d: a page was not refreshed in time", share.index)
-        except Refused as refusal:
-            await self._refused(share, draft, refusal, term)
+        except ProposalRejectedError:
+            self._undo_plan(shard, draft, {attempt.job.id for attempt in draft.planned}, term)
+        except StateUnavailableError:
+            log.debug("share %d: a page was not refreshed in time", shard.index)
+        except ConditionFailedError as refusal:
+            await self._refused(shard, draft, refusal, term)
         else:
-            self._written(share, draft, revision, term)
+            self._written(shard, draft, revision, term)
         finally:
-            share.committing = False
+            shard.committing = False
             self._changed()
 
-    def _written(self, share: Share, draft: Draft, revision: int, term: int) -> None:
+    def _written(self, shard: Shard, draft: Draft, revision: int, term: int) -> None:
         model = self._model
         with model.lock:
-            if not share.owned or share.term != term:
+            if not shard.owned or shard.term != term:
                 return
             for number, entries in draft.pages.items():
-                model.pages[share.index][number] = Page(revision, entries)
-                key = page_key(share.index, number)
+                model.pages[shard.index][number] = Page(revision, entries)
+                key = page_key(shard.index, number)
                 model.versions[key] = max(revision, model.versions.get(key, 0))
                 for entry in entries.values():
                     job = model.job(entry.job)
                     if job is not None:
-                        job.bits_page.update((chunk, number) for chunk, _ in entry.done)
+                        job.done_bits_page.update((chunk, number) for chunk, _ in entry.done)
                         for note in entry.notes:
                             key_of = (type(note), note.number)
                             if job.notes.get(key_of) == note:
@@ -158,10 +167,10 @@
                 if attempt.job.attempts.get(attempt.task) is attempt:
                     if attempt.stage == Stage.PLANNED:
                         attempt.stage = Stage.PLACED
-                        attempt.job.touch(attempt.task)
+                        attempt.job.mark_changed(attempt.task)
                         if model.accounts is not None:
-                            model.accounts.placed(attempt)
-                    model.pushes.add(attempt.machine.index)
+                            model.accounts.on_attempt_placed(attempt)
+                    model.machines_to_push.add(attempt.machine.index)
             for attempt in draft.finished:
                 if attempt.job.attempts.get(attempt.task) is attempt:
                     model.forget_finished(attempt)
@@ -169,30 +178,32 @@
                 if job.phase != Phase.OPEN:
                     model.settle(job)
 
-    async def _refused(self, share: Share, draft: Draft, refusal: Refused, term: int) -> None:
+    async def _refused(
+        self, shard: Shard, draft: Draft, refusal: ConditionFailedError, term: int
+    ) -> None:
         """Find out whether an earlier sending was applied; if not, take the plan back where a job
         has changed, and try again with the rest."""
         model = self._model
-        if claim_key(share.index) in refusal.failed:
+        if claim_key(shard.index) in refusal.failed:
             with model.lock:
-                if share.owned and share.term == term:
+                if shard.owned and shard.term == term:
                     # Somebody else acts for the share.
-                    self._resign(share)
+                    self._resign(shard)
             return
         if LEVEL_KEY in refusal.failed:
             await self._read_level()
-        pages = {page_key(share.index, number): number for number in draft.pages}
+        pages = {page_key(shard.index, number): number for number in draft.pages}
         jobs = {key for key in refusal.failed if key != LEVEL_KEY and key not in pages}
         # Jobs first: where the draft was written, tasks of one were launched that others had
         # confirmed as cancelled since.
         for key in [*sorted(jobs), *(key for key in refusal.failed if key in pages)]:
-            entry = await self._look(key, share, term)
-            if not share.owned or share.term != term:
+            entry = await self._read_until_answered(key, shard, term)
+            if not shard.owned or shard.term != term:
                 return
             if key in pages and entry is not None:
                 content = wire.page_decoder.decode(entry.value)
                 if content == list(draft.pages[pages[key]].values()):
-                    self._written(share, draft, entry.version, term)
+                    self._written(shard, draft, entry.version, term)
                     return
             with model.lock:
                 if entry is not None:
@@ -201,28 +212,28 @@
                     # up for it.
                     model.apply(key, entry.value, entry.version)
                 elif key in pages:
-                    self._resign(share)
+                    self._resign(shard)
         if jobs:
-            log.info("share %d: jobs changed before tasks were placed: %s", share.index, jobs)
-        self._take_back(share, draft, {key.rpartition("/")[2] for key in jobs}, term)
+            log.info("share %d: jobs changed before tasks were placed: %s", shard.index, jobs)
+        self._undo_plan(shard, draft, {key.rpartition("/")[2] for key in jobs}, term)
 
-    async def _look(self, key: str, share: Share, term: int) -> wire.Entry | None:
+    async def _read_until_answered(self, key: str, shard: Shard, term: int) -> wire.Entry | None:
         """A key's entry, asked for until that is answered, as long as the share is ours."""
         failures = 0
-        while share.owned and share.term == term:
+        while shard.owned and shard.term == term:
             try:
                 return await self._state.get(key)
-            except Unavailable:
+            except StateUnavailableError:
                 failures += 1
                 await self._state.pause(failures)
         return None
 
-    def _take_back(self, share: Share, draft: Draft, names: set[str], term: int) -> None:
+    def _undo_plan(self, shard: Shard, draft: Draft, names: set[str], term: int) -> None:
         """Nothing of a draft was written: what it planned of the jobs named is given up, and the
         rest is composed again."""
         model = self._model
         with model.lock:
-            if not share.owned or share.term != term:
+            if not shard.owned or shard.term != term:
                 return
             for attempt in draft.planned:
                 if attempt.job.attempts.get(attempt.task) is not attempt:
@@ -230,21 +241,21 @@
                 if attempt.job.id in names:
                     model.unplace(attempt)
                 else:
-                    share.planned.append(attempt)
+                    shard.planned.append(attempt)
             for job, chunk in draft.bits:
                 if model.jobs[job.index] is job:
-                    job.bits_changed.add(chunk)
-                    share.bits_due[job.index] = model.clock.now()
+                    job.done_bits_changed.add(chunk)
+                    shard.completions_due[job.index] = model.clock.now()
             for job, key in draft.notes:
                 if model.jobs[job.index] is job:
                     job.notes_changed.add(key)
-                    share.notes_due.add(job.index)
+                    shard.notes_due.add(job.index)
 
     async def _read_level(self) -> None:
         """The site's level has changed under a write: it is composed again in the form of now."""
         try:
             entry = await self._state.get(LEVEL_KEY)
-        except Unavailable:
+        except StateUnavailableError:
             # The replica will tell.
             await asyncio.sleep(0.2)
             return
@@ -256,54 +267,55 @@
 
     async def _end(self, job: Job) -> None:
         model = self._model
-        share = model.shares[job.share]
-        term = share.term
+        shard = model.shards[job.shard]
+        term = shard.term
         key = job_key(job.id)
         usage = None if model.accounts is None else model.accounts.usage(job)
-        value = wire.raw(self.final(job, "done", None, usage))
+        value = wire.raw(self.final_record(job, "done", None, usage))
         try:
             revision = await self._committer.commit(
                 Urgency.DONE if job.rank else Urgency.UPKEEP,
-                {claim_key(share.index): term, key: job.version},
+                {claim_key(shard.index): term, key: job.version},
                 [wire.Write(put=key, value=value)],
-                wanted=lambda: share.owned and share.term == term and job.phase == Phase.OPEN,
+                wanted=lambda: shard.owned and shard.term == term and job.phase == Phase.OPEN,
                 patience_s=END_S if job.rank else LOW_END_S,
             )
-        except Dropped:
+        except ProposalDroppedError:
             job.end_sent = False
-        except Unavailable:
+        except StateUnavailableError:
             # Without a deadline only one that was called malformed comes to that.
             await asyncio.sleep(1.0)
             job.end_sent = False
-        except Refused as refusal:
+        except ConditionFailedError as refusal:
             job.end_sent = False
-            lost = claim_key(share.index) in refusal.failed
-            if lost and share.owned and share.term == term:
+            lost = claim_key(shard.index) in refusal.failed
+            if lost and shard.owned and shard.term == term:
                 # Else it has been given up, or taken anew, since this was sent.
-                self._resign(share)
+                self._resign(shard)
             try:
                 await self.read(job.id)
-            except Unavailable:
+            except StateUnavailableError:
                 await asyncio.sleep(0.2)
         else:
             with model.lock:
                 model.apply(key, value, revision)
         self._changed()
 
-    def close(self) -> None:
+    def write_summaries(self) -> None:
         """Add the summaries of cancelled jobs to their records; called now and then."""
         accounts = self._model.accounts
-        if accounts is None or self._closing:
+        if accounts is None or self._summaries_in_flight:
             return
         with self._model.lock:
             due = [
-                (job_id, entry.version, accounts.closing(entry)) for job_id, entry in accounts.due()
+                (job_id, entry.version, accounts.summarized_record(entry))
+                for job_id, entry in accounts.next_unsummarized()
             ]
         if due:
-            self._closing = True
-            self._spawn(self._close(due))
+            self._summaries_in_flight = True
+            self._spawn(self._write_summaries(due))
 
-    async def _close(self, due: list[tuple[str, int, wire.StoredJob]]) -> None:
+    async def _write_summaries(self, due: list[tuple[str, int, wire.StoredJob]]) -> None:
         values = {job_key(job_id): wire.raw(stored) for job_id, _, stored in due}
         try:
             revision = await self._committer.commit(
@@ -312,35 +324,35 @@
                 [wire.Write(put=key, value=value) for key, value in values.items()],
                 CLOSE_DEADLINE_S,
             )
-        except Refused as refusal:
+        except ConditionFailedError as refusal:
             # Written before, without an answer, or by an owner before us.
             for key in refusal.failed:
                 try:
                     await self.read(key.rpartition("/")[2])
-                except Unavailable:
+                except StateUnavailableError:
                     log.debug("%s: could not be read", key)
-        except (Unavailable, Dropped):
+        except (StateUnavailableError, ProposalDroppedError):
             log.debug("%d summaries not written yet", len(due))
         else:
             with self._model.lock:
                 for key, value in values.items():
                     self._model.apply(key, value, revision)
         finally:
-            self._closing = False
+            self._summaries_in_flight = False
 
-    async def write_counts(self, share: Share) -> None:
+    async def write_counts(self, shard: Shard) -> None:
         """Write G and F of an owned share."""
-        key = counts_key(share.index)
-        value = wire.raw(wire.StoredCounts(share.finished, share.evicted))
+        key = counts_key(shard.index)
+        value = wire.raw(wire.StoredCounts(shard.finished, shard.evicted))
         try:
             revision = await self._committer.commit(
                 Urgency.UPKEEP,
-                {claim_key(share.index): share.term, key: share.counts_version},
+                {claim_key(shard.index): shard.term, key: shard.counts_version},
                 [wire.Write(put=key, value=value)],
                 5.0,
-                wanted=lambda: share.owned,
+                wanted=lambda: shard.owned,
             )
             with self._model.lock:
                 self._model.apply(key, value, revision)
-        except (Refused, Unavailable, Dropped):
-            log.debug("counts of share %d not written", share.index)
+        except (ConditionFailedError, StateUnavailableError, ProposalDroppedError):
+            log.debug("counts of share %d not written", shard.index)
--- a/badgerseam/store/machine_records.py
+++ b/badgerseam/store/machine_records.py
@@ -10,17 +10,27 @@
 from badgerseam.model.keys import group_key
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
-from badgerseam.store.client import LeaseLost, Refused, StateClient, Unavailable
-from badgerseam.store.committer import Committer, Dropped, Urgency
+from badgerseam.store.client import (
+    ConditionFailedError,
+    LeaseExpiredError,
+    StateClient,
+    StateUnavailableError,
+)
+from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
 
 GATHER_S = 0.02
-LOOK_S = 0.3
+READ_RETRY_S = 0.3
 ROW_BYTES = 128
 """What a machine's row takes at most, as long as its names are short."""
 ADDRESS_BYTES = 32
 """What a row grows by when its machine's address becomes known."""
-NOT_WRITTEN = (Refused, Unavailable, Dropped, LeaseLost)
+WRITE_ERRORS = (
+    ConditionFailedError,
+    StateUnavailableError,
+    ProposalDroppedError,
+    LeaseExpiredError,
+)
 
 Edit = Callable[[wire.StoredMachine], wire.StoredMachine | None]
 
@@ -37,14 +47,14 @@
     future: asyncio.Future[None] = field(default_factory=asyncio.Future)
 
 
-class Roster:
+class MachineRecords:
     """Gathers the changes of a group into one write.
 
     Owners pass machines on and give them up, the leader adds and removes them; writes of others
     in between are met by reading the group again.
     """
 
-    def __init__(self, model: Model, state: StateClient, committer: Committer) -> None:
+    def __init__(self, model: Model, state: StateClient, committer: GroupCommitter) -> None:
         self._model = model
         self._state = state
         self._committer = committer
@@ -53,7 +63,7 @@
         """What can wait, by group."""
         self._tasks = BackgroundTasks()
 
-    def most_rows(self, rows: list[wire.StoredMachine]) -> int:
+    def max_rows(self, rows: list[wire.StoredMachine]) -> int:
         """How many machines like these a value holds."""
         longest = max((len(wire.encode(row)) + ADDRESS_BYTES for row in rows), default=0)
         value = int(self._model.settings.params.state.value_kb * 1024 * 0.9)
@@ -78,12 +88,12 @@
             revision = await self._committer.commit(
                 Urgency.PLACE, conditions, writes, wanted=wanted
             )
-        except Refused as refusal:
+        except ConditionFailedError as refusal:
             if key in refusal.failed:
                 # An earlier sending was carried out, and only its answer was lost. Machines that
                 # were not known before the replica showed them were recorded in a second group,
                 # and which of the two counts differed between controllers.
-                await self._learn(key, wanted)
+                await self._read_when_possible(key, wanted)
             raise
         with self._model.lock:
             for write in writes:
@@ -119,7 +129,7 @@
         for change, outcome in zip(changes, outcomes, strict=True):
             if outcome is None:
                 done |= change.names
-            elif not isinstance(outcome, NOT_WRITTEN):
+            elif not isinstance(outcome, WRITE_ERRORS):
                 raise outcome
         return done
 
@@ -137,7 +147,7 @@
             if self._model.clock.now() >= until or self._committer.wait_s(Urgency.UPKEEP) <= 0:
                 self._begin(group, self._patient.pop(group))
                 return
-            await asyncio.sleep(min(LOOK_S, patience_s))
+            await asyncio.sleep(min(READ_RETRY_S, patience_s))
 
     async def _run(self, group: str) -> None:
         try:
@@ -177,19 +187,19 @@
                 )
                 with model.lock:
                     model.apply(key, value, revision)
-        except Refused as refusal:
+        except ConditionFailedError as refusal:
             again = []
             for change in changes:
                 if change.claim in refusal.failed:
                     change.future.set_exception(refusal)
                 elif not change.wanted():
-                    change.future.set_exception(Dropped())
+                    change.future.set_exception(ProposalDroppedError())
                 else:
                     again.append(change)
             if key in refusal.failed:
                 await self._read(key)
             return again
-        except NOT_WRITTEN as error:
+        except WRITE_ERRORS as error:
             for change in changes:
                 change.future.set_exception(error)
             return []
@@ -197,13 +207,13 @@
             change.future.set_result(None)
         return []
 
-    async def _learn(self, key: str, wanted: Callable[[], bool]) -> None:
+    async def _read_when_possible(self, key: str, wanted: Callable[[], bool]) -> None:
         """Take over a group that is there, as soon as it can be read."""
         failures = 0
         while wanted():
             try:
                 entry = await self._state.get(key)
-            except Unavailable:
+            except StateUnavailableError:
                 failures += 1
                 await self._state.pause(failures)
                 continue
@@ -216,7 +226,7 @@
         """Somebody else has written the group; or our own write, which seemed lost, was applied."""
         try:
             entry = await self._state.get(key)
-        except Unavailable:
+        except StateUnavailableError:
             entry = None
         if entry is None:
             # Gone, or not to be had now: the replica will tell.
--- a/badgerseam/store/page_rewriter.py
+++ b/badgerseam/store/page_rewriter.py
@@ -6,19 +6,19 @@
 from collections.abc import Callable
 
 from badgerseam.model.model import Model
-from badgerseam.model.state import Page, Share
-from badgerseam.store.committer import Committer, Urgency
+from badgerseam.model.state import Page, Shard
+from badgerseam.store.committer import GroupCommitter, Urgency
 from badgerseam.store.ledger import Ledger
 
 
-class Rewriting:
+class PageRewriter:
     """Pages of the shares that this controller owns, looked at in turn."""
 
     def __init__(
         self,
         model: Model,
         ledger: Ledger,
-        committer: Committer,
+        committer: GroupCommitter,
         worth: Callable[[Page], bool],
         at_once: int = 1,
     ) -> None:
@@ -35,16 +35,16 @@
     def review(self) -> None:
         """Write at most one page of each share anew; called about once a second, with the lock
         held."""
-        for share in self._model.shares:
-            free = share.owned and not share.committing and not share.planned
+        for shard in self._model.shards:
+            free = shard.owned and not shard.committing and not shard.planned
             if free and self._committer.wait_s(Urgency.UPKEEP) <= 0:
-                self._look(share)
+                self._review_shard(shard)
 
-    def _look(self, share: Share) -> None:
-        pages = self._model.pages[share.index]
-        turn = self._turn.get(share.index, -1)
+    def _review_shard(self, shard: Shard) -> None:
+        pages = self._model.pages[shard.index]
+        turn = self._turn.get(shard.index, -1)
         for number in heapq.nsmallest(self._at_once, pages, key=lambda n: (n <= turn, n)):
-            self._turn[share.index] = number
-            if self._worth(pages[number]) and self._ledger.refresh(share, number):
+            self._turn[shard.index] = number
+            if self._worth(pages[number]) and self._ledger.refresh(shard, number):
                 self.written += 1
                 return
--- a/badgerseam/store/stale_pages.py
+++ b/badgerseam/store/stale_pages.py
@@ -11,20 +11,20 @@
 from badgerseam.model.job import FINISHED, Phase
 from badgerseam.model.model import Model
 from badgerseam.model.state import Page
-from badgerseam.store.committer import Committer
+from badgerseam.store.committer import GroupCommitter
 from badgerseam.store.ledger import Ledger
-from badgerseam.store.page_rewriter import Rewriting
+from badgerseam.store.page_rewriter import PageRewriter
 
-LOOKED_AT = 8
+PAGES_SCANNED = 8
 """Pages of a share at a time."""
 
 
-def leavings(model: Model, ledger: Ledger, committer: Committer) -> Rewriting:
+def stale_page_rewriter(model: Model, ledger: Ledger, committer: GroupCommitter) -> PageRewriter:
     """What writes such pages anew."""
-    return Rewriting(model, ledger, committer, lambda page: misleads(model, page), LOOKED_AT)
+    return PageRewriter(model, ledger, committer, lambda page: is_stale(model, page), PAGES_SCANNED)
 
 
-def misleads(model: Model, page: Page) -> bool:
+def is_stale(model: Model, page: Page) -> bool:
     """Whether a page places a task that is on no machine, and may be started or is cancelled."""
     now = model.clock.now()
     for entry in page.jobs.values():
@@ -32,11 +32,11 @@
         if job is None:
             # Ended, with nothing left. Where it is done, its bits tell that of every row.
             ended = model.ended.get(entry.job)
-            if ended is not None and ended[0] == Phase.WITHDRAWN and entry.rows:
+            if ended is not None and ended[0] == Phase.CANCELLED and entry.rows:
                 return True
             continue
         # What its owner does not start is nothing to rent for.
-        if job.phase == Phase.OPEN and (job.failing or now < job.retry_at or not job.waiting()):
+        if job.phase == Phase.OPEN and (job.is_failing or now < job.retry_at or not job.waiting()):
             continue
         for row in entry.rows:
             placed = row.machine is not None and job.status[row.task] != FINISHED
--- a/badgerseam/store/state_watcher.py
+++ b/badgerseam/store/state_watcher.py
@@ -8,9 +8,10 @@
 
 import msgspec
 
+from badgerseam.errors import BadgerseamError
 from badgerseam.model.keys import LEVEL_KEY, PREFIX
 from badgerseam.model.model import Model
-from badgerseam.store.client import StateClient, TooOld, Unavailable
+from badgerseam.store.client import RevisionCompactedError, StateClient, StateUnavailableError
 from badgerseam.wire import state as wire
 
 log = logging.getLogger("badgerseam.store")
@@ -20,11 +21,11 @@
 known is no older than that."""
 
 
-class Undecodable(Exception):
+class UndecodableRecordError(BadgerseamError):
     """A record is not one of this program's, at a level that it fits; the message names the key."""
 
 
-class Replica:
+class StateWatcher:
     """Loads the model at the start and then applies every change in order.
 
     At a site whose level the program does not fit, nothing but the level's record is read: other
@@ -43,7 +44,7 @@
         self._state = state
         self._changed = changed
         self._fitting = fitting
-        self._aside = False
+        self._inactive = False
 
     async def run(self) -> None:
         """Follow for ever."""
@@ -52,8 +53,8 @@
         loaded = False
         while True:
             try:
-                if self._aside:
-                    await self._wait_to_fit()
+                if self._inactive:
+                    await self._wait_until_supported()
                     loaded = False
                     continue
                 if not loaded:
@@ -66,11 +67,11 @@
                 wait_s = 0.0 if failures else WAIT_S
                 changes = await self._state.follow(PREFIX, model.revision, wait_s)
                 failures = 0
-            except TooOld:
+            except RevisionCompactedError:
                 log.info("the changes to follow are no longer kept; reading all keys again")
                 loaded = False
                 continue
-            except Unavailable as error:
+            except StateUnavailableError as error:
                 failures += 1
                 log.debug("following failed: %s", error)
                 await self._state.pause(failures)
@@ -81,24 +82,26 @@
                         model.apply(event.put, event.value, event.version)
                     elif event.delete is not None:
                         model.apply(event.delete, None, event.version)
-                    if not model.fits:
+                    if not model.is_supported:
                         # What comes behind it may have a form that we do not know.
-                        self._stand_aside()
+                        self._deactivate()
                         break
                 else:
                     model.advance(changes.revision)
                     model.followed_at = max(model.followed_at, asked)
             self._changed()
 
-    def _stand_aside(self) -> None:
+    def _deactivate(self) -> None:
         model = self._model
         remedy = (
             "put the one before back until the rest is carried over"
-            if model.program.fits(model.site.level)
-            else f"install one that reads level {model.site.level}, or have the level lowered"
+            if model.program.supports(model.level.level)
+            else f"install one that reads level {model.level.level}, or have the level lowered"
         )
-        log.error("%s: it takes no part; %s (badgerseam rollout status)", model.misfit, remedy)
-        self._aside = True
+        log.error(
+            "%s: it takes no part; %s (badgerseam rollout status)", model.unsupported_reason, remedy
+        )
+        self._inactive = True
         # First told, while the model still shows what is held and has to be given up.
         self._fitting(False)
         model.loaded = False
@@ -111,19 +114,19 @@
             if page.items:
                 entry = page.items[0]
                 model.apply(LEVEL_KEY, entry.value, entry.version)
-            elif model.site.version:
+            elif model.level.version:
                 # Lowered to the level without a record while we did not look.
                 model.apply(LEVEL_KEY, None, model.versions.get(LEVEL_KEY, 0) + 1)
         return page.revision
 
-    async def _wait_to_fit(self) -> None:
+    async def _wait_until_supported(self) -> None:
         model = self._model
         revision = await self._read_level()
-        if not model.fits:
+        if not model.is_supported:
             await self._state.follow(LEVEL_KEY, revision, WAIT_S)
             return
-        log.info("the site is at level %d: this program takes part again", model.site.level)
-        self._aside = False
+        log.info("the site is at level %d: this program takes part again", model.level.level)
+        self._inactive = False
         self._fitting(True)
 
     async def _page(self, after: str | None) -> wire.KeyPage:
@@ -133,7 +136,7 @@
         while True:
             try:
                 return await self._state.page(PREFIX, after)
-            except Unavailable as error:
+            except StateUnavailableError as error:
                 failures += 1
                 log.debug("a page was not read: %s", error)
                 await self._state.pause(failures)
@@ -148,8 +151,8 @@
         strange: str | None = None
         seen: set[str] = set()
         with model.lock:
-            if not model.fits:
-                self._stand_aside()
+            if not model.is_supported:
+                self._deactivate()
                 return False
             model.begin_load()
         while True:
@@ -170,9 +173,9 @@
                 # Raised past us while we read, or else nothing that we can go on from.
                 await self._read_level()
                 with model.lock:
-                    if model.fits:
-                        raise Undecodable(strange)
-                    self._stand_aside()
+                    if model.is_supported:
+                        raise UndecodableRecordError(strange)
+                    self._deactivate()
                 return False
             if not page.more or not page.items:
                 break
@@ -180,8 +183,8 @@
             await asyncio.sleep(0)
         with model.lock:
             model.end_load(revision, seen)
-            if not model.fits:
-                self._stand_aside()
+            if not model.is_supported:
+                self._deactivate()
                 return False
         log.info("replica loaded at revision %d: %d keys", revision, len(seen))
         return True
--- a/badgerseam/store/write_rate.py
+++ b/badgerseam/store/write_rate.py
@@ -12,24 +12,24 @@
 
 import math
 
-from badgerseam.http.budget import Budget
+from badgerseam.http.budget import RateBudget
 from badgerseam.model.model import Model
 
-FLOOR = 0.3
+MIN_FRACTION = 0.3
 """The part of an even part that is never left to others: a change or two can be made at once."""
-ABSENT = 0.1
+ABSENT_FRACTION = 0.1
 """What is kept for a controller without a record of its own: it may be starting."""
-AHEAD = 1.5
+HEADROOM = 1.5
 """How much more than was written of late is taken to be needed."""
 MEMORY_S = 2.0
 FRESH_S = 2.5
 """How long a sibling's word counts: told once a second, one may be missed."""
 
 
-class Allotment:
+class WriteRateAllocator:
     """What this controller may change a second."""
 
-    def __init__(self, model: Model, budget: Budget) -> None:
+    def __init__(self, model: Model, budget: RateBudget) -> None:
         self._model = model
         self._clock = model.clock
         self._budget = budget
@@ -40,10 +40,10 @@
         self._rate = 0.0
         self._taken = budget.taken
         self._looked_at = self._clock.now()
-        self.need = FLOOR
+        self.demand = MIN_FRACTION
         """What we need, as parts of an even part; infinite if whatever there is."""
 
-    def told(self, node: str, need: float | None) -> None:
+    def on_peer_demand(self, node: str, need: float | None) -> None:
         """A sibling has said what it needs; None: its program does not say."""
         self._told[node] = (1.0 if need is None else need, self._clock.now())
 
@@ -58,21 +58,21 @@
         kept = math.exp(-passed_s / MEMORY_S)
         self._rate = self._rate * kept + (1 - kept) * taken / passed_s
         used_up = taken > 0 and self._budget.available() < 1.0
-        self.need = math.inf if used_up else max(FLOOR, AHEAD * self._rate / self._even)
+        self.demand = math.inf if used_up else max(MIN_FRACTION, HEADROOM * self._rate / self._even)
         with self._model.lock:
-            needs = [self._need_of(name, now) for name in self._siblings]
-        self._budget.per_s = self._even * part(self.need, needs)
+            needs = [self._demand_of(name, now) for name in self._siblings]
+        self._budget.per_s = self._even * fair_parts(self.demand, needs)
 
-    def _need_of(self, name: str, now: float) -> float:
+    def _demand_of(self, name: str, now: float) -> float:
         need, at = self._told.get(name, (1.0, -math.inf))
         if now - at <= FRESH_S:
-            return max(FLOOR, need)
+            return max(MIN_FRACTION, need)
         # One that we have heard is there, record or not: after all have ended at once, each would
         # take the others for absent.
-        return 1.0 if name in self._model.nodes else ABSENT
+        return 1.0 if name in self._model.controllers else ABSENT_FRACTION
 
 
-def part(own: float, others: list[float]) -> float:
+def fair_parts(own: float, others: list[float]) -> float:
     """How many even parts one may use that needs `own` of them, beside others with their needs."""
     hungry = sum(need > 1.0 for need in others)
     if own <= 1.0:
--- a/badgerseam/wire/accounting.py
+++ b/badgerseam/wire/accounting.py
@@ -90,7 +90,7 @@
     """Whether all of the log was looked at that may hold its records."""
 
 
-class Line(Struct, frozen=True, omit_defaults=True, rename="camel"):
+class AccountingLine(Struct, frozen=True, omit_defaults=True, rename="camel"):
     """A job that has ended."""
 
     id: str
@@ -150,10 +150,10 @@
     )
 
 
-def line(job_id: str, state: str, tasks: int, usage: Usage) -> Line:
+def accounting_line(job_id: str, state: str, tasks: int, usage: Usage) -> AccountingLine:
     """A stored summary as it is told."""
     ends = {cause: count for cause, count in zip(CAUSES, usage.causes, strict=False) if count}
-    return Line(
+    return AccountingLine(
         job_id,
         state,
         tasks,
@@ -202,6 +202,6 @@
 
 attempt_decoder: msgspec.json.Decoder[AttemptLine] = msgspec.json.Decoder(AttemptLine)
 attempts_end_decoder: msgspec.json.Decoder[AttemptsEnd] = msgspec.json.Decoder(AttemptsEnd)
-line_decoder: msgspec.json.Decoder[Line] = msgspec.json.Decoder(Line)
+line_decoder: msgspec.json.Decoder[AccountingLine] = msgspec.json.Decoder(AccountingLine)
 totals_decoder: msgspec.json.Decoder[list[DayTotal]] = msgspec.json.Decoder(list[DayTotal])
 encode = msgspec.json.Encoder().encode
--- a/badgerseam/wire/batch.py
+++ b/badgerseam/wire/batch.py
@@ -10,17 +10,17 @@
 from badgerseam.wire.users import Dependency, Submission
 
 
-class TakeNumbers(Struct, frozen=True, forbid_unknown_fields=True):
+class NumbersRequest(Struct, frozen=True, forbid_unknown_fields=True):
     """How many numbers are wanted."""
 
     count: Annotated[int, Meta(ge=1, le=100)] = 1
 
 
-class Taken(Struct, frozen=True):
+class NumbersResponse(Struct, frozen=True):
     numbers: list[int]
 
 
-class Found(Struct, frozen=True):
+class NumberLookup(Struct, frozen=True):
     """The jobs that a number stands for."""
 
     ids: list[str]
@@ -66,10 +66,12 @@
     names: list[str] = field(default_factory=list)
 
 
-take_decoder: msgspec.json.Decoder[TakeNumbers] = msgspec.json.Decoder(TakeNumbers)
+numbers_request_decoder: msgspec.json.Decoder[NumbersRequest] = msgspec.json.Decoder(NumbersRequest)
 amendment_decoder: msgspec.json.Decoder[Amendment] = msgspec.json.Decoder(Amendment)
-taken_decoder: msgspec.json.Decoder[Taken] = msgspec.json.Decoder(Taken)
-found_decoder: msgspec.json.Decoder[Found] = msgspec.json.Decoder(Found)
+numbers_response_decoder: msgspec.json.Decoder[NumbersResponse] = msgspec.json.Decoder(
+    NumbersResponse
+)
+number_lookup_decoder: msgspec.json.Decoder[NumberLookup] = msgspec.json.Decoder(NumberLookup)
 details_decoder: msgspec.json.Decoder[Details] = msgspec.json.Decoder(Details)
 machines_decoder: msgspec.json.Decoder[list[MachineRow]] = msgspec.json.Decoder(list[MachineRow])
 encode = msgspec.json.Encoder().encode
--- a/badgerseam/wire/cloud.py
+++ b/badgerseam/wire/cloud.py
@@ -36,7 +36,7 @@
     types: list[MachineType]
 
 
-class Rent(
+class RentalRequest(
     Struct,
     frozen=True,
     rename={
@@ -54,11 +54,11 @@
     count: int
 
 
-class Names(Struct, frozen=True, rename={"machines": "hosts"}):
+class MachineNames(Struct, frozen=True, rename={"machines": "hosts"}):
     machines: list[str]
 
 
-class Listed(
+class ListedMachine(
     Struct,
     frozen=True,
     rename={
@@ -79,12 +79,12 @@
     age_s: float = 0.0
 
 
-class Page(Struct, frozen=True, rename={"machines": "hosts"}):
-    machines: list[Listed] = field(default_factory=list)
+class MachinePage(Struct, frozen=True, rename={"machines": "hosts"}):
+    machines: list[ListedMachine] = field(default_factory=list)
     more: bool = False
 
 
 types_decoder: msgspec.json.Decoder[Types] = msgspec.json.Decoder(Types)
-names_decoder: msgspec.json.Decoder[Names] = msgspec.json.Decoder(Names)
-page_decoder: msgspec.json.Decoder[Page] = msgspec.json.Decoder(Page)
+names_decoder: msgspec.json.Decoder[MachineNames] = msgspec.json.Decoder(MachineNames)
+page_decoder: msgspec.json.Decoder[MachinePage] = msgspec.json.Decoder(MachinePage)
 encode = msgspec.json.Encoder().encode
--- a/badgerseam/wire/explain.py
+++ b/badgerseam/wire/explain.py
@@ -119,10 +119,10 @@
         return [r.code for group in self.groups for r in group.reasons if r.binding]
 
 
-class Question(Struct, frozen=True):
+class Question(Struct, frozen=True, rename={"shard": "share"}):
     """A controller asks the owner of a share about its jobs."""
 
-    share: int
+    shard: int
     jobs: list[str]
 
 
--- a/badgerseam/wire/rollout.py
+++ b/badgerseam/wire/rollout.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 
-class Take(Struct, frozen=True):
+class TakeoverRequest(Struct, frozen=True):
     """A controller that is leaving asks a sibling to take one of its claims over."""
 
     key: str
@@ -21,20 +21,22 @@
     reason: str
 
 
-class ControllerView(Struct, frozen=True):
+class ControllerView(
+    Struct, frozen=True, rename={"min_level": "least", "max_level": "most", "shards": "shares"}
+):
     """A configured controller as the one that was asked sees it."""
 
     node: str
     state: str
     """`acting`, `aside` (takes no share) or `missing` (no record on a live lease)."""
-    least: int | None
-    most: int | None
+    min_level: int | None
+    max_level: int | None
     program: str
-    shares: list[int]
+    shards: list[int]
     leader: bool
 
 
-class Refreshing(Struct, frozen=True):
+class RefreshProgress(Struct, frozen=True):
     """How far the state has been carried over to the level's form, in the shares of the controller
     that was asked."""
 
@@ -46,11 +48,11 @@
     """Since it started, for this alone."""
 
 
-class Carrying(Struct, frozen=True):
+class MigrationProgress(Struct, frozen=True, rename={"migrated": "carried"}):
     """How far old records have been carried over, as the asked controller knows. Its counts are of
     what it did itself while it led."""
 
-    carried: int
+    migrated: int
     """Up to this level no record is left in an older form."""
     pending: list[int]
     """Levels whose older form is still to be carried over."""
@@ -65,7 +67,11 @@
     """Records written anew a second, since it started."""
 
 
-class OwnView(Struct, frozen=True):
+class OwnView(
+    Struct,
+    frozen=True,
+    rename={"responsive_machines": "heard", "refresh": "refreshing", "migration": "carrying"},
+):
     """The controller that was asked, about itself."""
 
     node: str
@@ -76,14 +82,14 @@
     caught_up: bool
     """Its replica follows the state service."""
     machines: int
-    heard: int
+    responsive_machines: int
     """Of its shares' machines, those that reported lately."""
     uptime_s: float
-    refreshing: Refreshing
-    carrying: Carrying
+    refresh: RefreshProgress
+    migration: MigrationProgress
 
 
-class View(Struct, frozen=True):
+class View(Struct, frozen=True, rename={"shards_without_actor": "shares_without_actor"}):
     """The answer of `GET /rollout`."""
 
     level: int
@@ -93,19 +99,19 @@
     next: int | None
     """The level that the leader would go to now; None if there is nothing to do."""
     blocked_by: list[Obstacle]
-    shares_without_actor: list[int]
+    shards_without_actor: list[int]
     leader: str | None
     controllers: list[ControllerView]
     own: OwnView
 
 
-class Wish(Struct, frozen=True, forbid_unknown_fields=True):
+class LevelRequest(Struct, frozen=True, forbid_unknown_fields=True):
     """The level that operators want; null: the newest that all controllers can act at."""
 
     level: int | None
 
 
-take_decoder: msgspec.json.Decoder[Take] = msgspec.json.Decoder(Take)
+takeover_decoder: msgspec.json.Decoder[TakeoverRequest] = msgspec.json.Decoder(TakeoverRequest)
 view_decoder: msgspec.json.Decoder[View] = msgspec.json.Decoder(View)
-wish_decoder: msgspec.json.Decoder[Wish] = msgspec.json.Decoder(Wish)
+level_request_decoder: msgspec.json.Decoder[LevelRequest] = msgspec.json.Decoder(LevelRequest)
 encode = msgspec.json.Encoder().encode
--- a/badgerseam/wire/standby.py
+++ b/badgerseam/wire/standby.py
@@ -6,7 +6,7 @@
 from msgspec import Struct, field
 
 
-class Follow(Struct, frozen=True):
+class FollowRequest(Struct, frozen=True):
     """Asks to be told; the answer is held for a while, so that the end of the connection tells of
     the end of the process."""
 
@@ -21,19 +21,19 @@
     """What an owner knows of a machine and the state service does not hold."""
 
     name: str
-    addr: str
-    session: int
-    token: int
+    address: str
+    incarnation: int
+    fencing_token: int
     """The highest one that it has shown."""
     evictions: list[float]
     """How long ago each recent one was, in seconds."""
     images: list[str]
 
 
-class ShareHint(Struct, frozen=True, array_like=True):
+class ShardHint(Struct, frozen=True, array_like=True):
     """What changed of an owned share since it was told last."""
 
-    share: int
+    shard: int
     term: int
     finished: int
     evicted: int
@@ -51,7 +51,7 @@
     pause_s: float
 
 
-class Told(Struct, frozen=True):
+class SoftStateUpdate(Struct, frozen=True, rename={"holds_claims": "held", "shards": "shares"}):
     """An answer."""
 
     process: str
@@ -59,27 +59,29 @@
     from one that was started anew."""
     number: int = 0
     """Rises by one with each answer to the same asker."""
-    held: bool = True
+    holds_claims: bool = True
     """It was held; otherwise it is to be asked again only after a while."""
-    shares: list[ShareHint] = field(default_factory=list)
+    shards: list[ShardHint] = field(default_factory=list)
     leader_term: int = 0
     blocked: list[BlockedHint] = field(default_factory=list)
 
 
-class View(Struct, frozen=True):
+class PeerViewRequest(Struct, frozen=True):
     """Asks how a sibling sees another one."""
 
     node: str
 
 
-class Seen(Struct, frozen=True):
+class PeerView(Struct, frozen=True):
     """Connections that it refused or reset in a row, when it was asked last."""
 
     refused: int
 
 
-follow_decoder: msgspec.json.Decoder[Follow] = msgspec.json.Decoder(Follow)
-told_decoder: msgspec.json.Decoder[Told] = msgspec.json.Decoder(Told)
-view_decoder: msgspec.json.Decoder[View] = msgspec.json.Decoder(View)
-seen_decoder: msgspec.json.Decoder[Seen] = msgspec.json.Decoder(Seen)
+follow_request_decoder: msgspec.json.Decoder[FollowRequest] = msgspec.json.Decoder(FollowRequest)
+update_decoder: msgspec.json.Decoder[SoftStateUpdate] = msgspec.json.Decoder(SoftStateUpdate)
+peer_view_request_decoder: msgspec.json.Decoder[PeerViewRequest] = msgspec.json.Decoder(
+    PeerViewRequest
+)
+peer_view_decoder: msgspec.json.Decoder[PeerView] = msgspec.json.Decoder(PeerView)
 encode = msgspec.json.Encoder().encode
--- a/badgerseam/wire/state.py
+++ b/badgerseam/wire/state.py
@@ -76,34 +76,34 @@
 
     node: str
     lease: int
-    away: bool = False
+    unavailable: bool = False
     """Of a controller's own record: it takes no share, since it hears no worker, is asked to
     leave, or does not fit the site's level."""
 
 
-class Presence(Claim, frozen=True, array_like=True):
+class ControllerRecord(Claim, frozen=True, array_like=True):
     """A controller's own record, on its lease: that it is there, and which levels of the stored
     state its program can act at. A program from before levels says nothing of them."""
 
-    least: int = 1
-    most: int = 1
+    min_level: int = 1
+    max_level: int = 1
     program: str = ""
-    classes: str = ""
+    classes_digest: str = ""
     """Digest of the priority classes in its options; empty if it keeps none."""
-    doubts: list[str] = field(default_factory=list)
+    suspected: list[str] = field(default_factory=list)
     """Controllers that it takes for ended; one that lives answers by writing its own record."""
 
 
-class Holding(Claim, frozen=True, array_like=True):
+class ClaimRecord(Claim, frozen=True, array_like=True):
     """A claim on a share or on the leadership."""
 
-    until: float | None = None
+    previous_owner_until: float | None = None
     """Time of day up to which an owner from before the holder, cut off from the state service, may
     go on answering the share's workers; None from a program that does not say. Later processes of
     the holder carry it over, since none of them can know it by itself."""
 
 
-class Deputy(Struct, frozen=True, array_like=True):
+class ProxyRecord(Struct, frozen=True, array_like=True):
     """In place of which owners, that it cannot reach, a controller answers their workers."""
 
     node: str
@@ -116,11 +116,11 @@
 
     state: str
     tasks: int
-    at: float
+    accepted_at: float
     spec: Submission | None = None
     usage: Usage | None = None
     """What it used, of one that has ended and was accounted for."""
-    place: int = 0
+    queue_position: int = 0
     """Its place in the queue: the stamp of the record that accepted it, kept when that is written
     again; 0 in that record itself."""
 
@@ -142,7 +142,7 @@
     machine: str | None
 
 
-class Failures(Struct, frozen=True, array_like=True, tag="f"):
+class StoredFailures(Struct, frozen=True, array_like=True, tag="f"):
     """A note: how often a member of a reckoning run has failed."""
 
     number: int
@@ -162,7 +162,7 @@
     step: int
     """Rises with each change of what follows: the note with the highest counts."""
     phase: int
-    incarnation: int
+    generation: int
     """Rises whenever it is started anew."""
     at: int
     """When the phase began, in tenths of a second after the job's acceptance."""
@@ -172,7 +172,7 @@
     """Of a move: the machine reserved for each of these, in order of their numbers."""
 
 
-Note = Failures | StoredReplica
+Note = StoredFailures | StoredReplica
 
 
 class JobRows(Struct, frozen=True, array_like=True):
@@ -193,24 +193,24 @@
     """A machine and the share it serves; dropped ones wait for their release."""
 
     name: str
-    share: int
+    shard: int
     type: str
     zone: str
     spot: bool
-    addr: str
-    rented: float
+    address: str
+    rented_at: float
     dropped: bool = False
 
 
-class StoredHire(Struct, frozen=True, array_like=True):
+class StoredRental(Struct, frozen=True, array_like=True):
     """A rental request under its unique name, persisted before it is sent."""
 
-    shares: list[int]
+    shards: list[int]
     """The share each machine is meant for, the most urgent first."""
     type: str
     zone: str
     spot: bool
-    at: float
+    requested_at: float
 
 
 class SiteLevel(Struct, frozen=True, array_like=True):
@@ -220,7 +220,7 @@
     by: str
     """The leader that wrote it."""
     at: float
-    carried: int = 1
+    migrated: int = 1
     """No record is left in a form that a later level up to this one has replaced."""
 
 
@@ -278,7 +278,7 @@
     at: float
     age_s: float = 0.0
     """A job counts as one class higher for each of these times that it has waited; 0: never."""
-    held_s: float = 0.0
+    max_hold_s: float = 0.0
     """How long after a takeover room is kept for what is coming."""
     options: str = ""
     """Digest of the options that were in force when it was written: only others replace it."""
@@ -296,7 +296,7 @@
 changes_decoder: msgspec.json.Decoder[Changes] = msgspec.json.Decoder(Changes)
 committed_decoder: msgspec.json.Decoder[Committed] = msgspec.json.Decoder(Committed)
 entry_decoder: msgspec.json.Decoder[Entry] = msgspec.json.Decoder(Entry)
-roster_decoder: msgspec.json.Decoder[list[StoredMachine]] = msgspec.json.Decoder(
+machines_decoder: msgspec.json.Decoder[list[StoredMachine]] = msgspec.json.Decoder(
     list[StoredMachine]
 )
 page_decoder: msgspec.json.Decoder[list[JobRows]] = msgspec.json.Decoder(list[JobRows])
--- a/badgerseam/wire/workers.py
+++ b/badgerseam/wire/workers.py
@@ -10,44 +10,50 @@
 Whole = Annotated[int, Meta(ge=0)]
 
 
-class TaskReport(
+class TaskStatus(
     Struct,
     frozen=True,
-    rename={"task": "piece", "attempt": "try", "state": "phase", "why": "cause"},
+    rename={
+        "task": "piece",
+        "attempt": "try",
+        "state": "phase",
+        "exit_reason": "cause",
+        "checkpointed": "saved",
+    },
 ):
     task: str
     attempt: Whole
     state: str
-    why: str | None = None
-    saved: bool | None = None
+    exit_reason: str | None = None
+    checkpointed: bool | None = None
 
 
-class Report(
+class Heartbeat(
     Struct,
     frozen=True,
     rename={
         "machine": "host",
-        "addr": "address",
+        "address": "address",
         "type": "breed",
         "zone": "sett",
         "spot": "loaned",
-        "session": "tenure",
-        "seq": "tick",
-        "token": "warrant",
-        "notice_s": "recallS",
+        "incarnation": "tenure",
+        "sequence": "tick",
+        "fencing_token": "warrant",
+        "reclaim_notice_s": "recallS",
         "tasks": "pieces",
     },
 ):
     machine: str
-    addr: str
+    address: str
     type: str
     zone: str
     spot: bool
-    session: Whole
-    seq: Whole
-    token: Whole = 0
-    notice_s: float | None = None
-    tasks: list[TaskReport] = field(default_factory=list)
+    incarnation: Whole
+    sequence: Whole
+    fencing_token: Whole = 0
+    reclaim_notice_s: float | None = None
+    tasks: list[TaskStatus] = field(default_factory=list)
 
 
 class Command(
@@ -62,24 +68,26 @@
     grace_s: float | None = None
 
 
-class Orders(Struct, frozen=True, rename={"token": "warrant", "commands": "orders"}):
-    token: int
+class HeartbeatResponse(
+    Struct, frozen=True, rename={"fencing_token": "warrant", "commands": "orders"}
+):
+    fencing_token: int
     commands: list[Command]
 
 
-class DirectOrders(
+class DirectCommands(
     Struct,
     frozen=True,
-    rename={"token": "warrant", "session": "tenure", "commands": "orders"},
+    rename={"fencing_token": "warrant", "incarnation": "tenure", "commands": "orders"},
 ):
-    token: int
-    session: int
+    fencing_token: int
+    incarnation: int
     commands: list[Command]
 
 
-class Redirect(Struct, frozen=True, omit_defaults=True, rename={"report_to": "overseer"}):
-    report_to: str | None = None
+class Redirect(Struct, frozen=True, omit_defaults=True, rename={"owner": "overseer"}):
+    owner: str | None = None
 
 
-report_decoder: msgspec.json.Decoder[Report] = msgspec.json.Decoder(Report)
+heartbeat_decoder: msgspec.json.Decoder[Heartbeat] = msgspec.json.Decoder(Heartbeat)
 encode = msgspec.json.Encoder().encode
--- a/badgerseam/workers/command_acks.py
+++ b/badgerseam/workers/command_acks.py
@@ -22,83 +22,98 @@
 
 log = logging.getLogger("badgerseam.workers")
 
-PATIENCE_S = 4.0
+ACK_TIMEOUT_S = 4.0
 """How long a worker waits for an answer, by the protocol."""
-SPREAD = 1.25
+ANSWER_SPACING = 1.25
 """Report intervals between two reports at most, if all is well."""
-ENOUGH = 2
+MISSED_BEFORE_PROBE = 2
 """Answers not heard, one after the other, after which a machine is asked and may be given up: one
 that is lost, or one report, is no reason."""
-CERTAIN = 4
+MISSED_BEFORE_GIVING_UP = 4
 """So many, and it is given up even if it can be asked: that renews no lease."""
 
 
-class Obedience:
+class CommandAcknowledgements:
     """Takes note of answers to reports and of what the next reports show of them."""
 
     def __init__(self, model: Model) -> None:
         workers = model.settings.params.workers
         self._lease_s = workers.lease_s
-        self._late_s = max(PATIENCE_S, SPREAD * workers.report_s)
+        self._late_s = max(ACK_TIMEOUT_S, ANSWER_SPACING * workers.report_s)
 
-    def reported(self, machine: Machine, report: wire.Report, now: float) -> None:
+    def on_heartbeat(self, machine: Machine, report: wire.Heartbeat, now: float) -> None:
         """A report has come that is newer than what is known, and is not taken over yet."""
-        passed_s = now - machine.told_at
-        if machine.deaf:
-            taken_back(machine, report)
+        passed_s = now - machine.last_answer_at
+        if machine.unacknowledging:
+            readmit_if_reached(machine, report)
             return
-        if machine.told > machine.told_directly:
-            missed = report.token < machine.told
+        if machine.last_answer_token > machine.highest_direct_token:
+            missed = report.fencing_token < machine.last_answer_token
             if not missed:
-                obeys(machine)
+                acknowledged(machine)
         else:
             # An answer that was heard renewed the lease from the sending of its report, which the
             # worker had not given up yet.
-            renewed = report.session > machine.session and passed_s < self._lease_s - PATIENCE_S
-            missed = machine.told_at > 0 and (passed_s > self._late_s or renewed)
+            renewed = (
+                report.incarnation > machine.incarnation
+                and passed_s < self._lease_s - ACK_TIMEOUT_S
+            )
+            missed = machine.last_answer_at > 0 and (passed_s > self._late_s or renewed)
         if missed:
-            if not machine.unheard:
-                machine.unheard_at = machine.told_at
-            machine.unheard += 1
-            machine.node = None
+            if not machine.missed_answers:
+                machine.missed_since = machine.last_answer_at
+            machine.missed_answers += 1
+            machine.sched_view = None
 
-    def answered(self, machine: Machine, now: float) -> None:
+    def on_response(self, machine: Machine, now: float) -> None:
         """The report is about to be answered with 200; the token may be raised for that."""
-        if machine.unheard and machine.token <= machine.shown_token and not machine.busy:
+        if (
+            machine.missed_answers
+            and machine.fencing_token <= machine.acknowledged_token
+            and not machine.command_in_flight
+        ):
             # Whatever carries a lower token is refused from then on: it is as if unanswered.
-            machine.bump += 1
-        machine.told = machine.token if machine.token > machine.shown_token else 0
-        machine.told_at = now
+            machine.token_bump += 1
+        machine.last_answer_token = (
+            machine.fencing_token if machine.fencing_token > machine.acknowledged_token else 0
+        )
+        machine.last_answer_at = now
 
 
-def disobeys(machine: Machine, now: float) -> bool:
+def fails_to_acknowledge(machine: Machine, now: float) -> bool:
     """Whether a machine has heard no answer for longer than one lost packet takes."""
-    return machine.unheard >= ENOUGH and now - machine.unheard_at > PATIENCE_S
+    return (
+        machine.missed_answers >= MISSED_BEFORE_PROBE and now - machine.missed_since > ACK_TIMEOUT_S
+    )
 
 
-def excuse(machine: Machine, now: float) -> None:
+def reset_missed_answers(machine: Machine, now: float) -> None:
     """What a machine has missed is no fault of its own. It goes on being unfit for work, and more
     has to be missed before it is asked."""
-    machine.unheard, machine.unheard_at, machine.unheard_asked = ENOUGH, now, ENOUGH
+    machine.missed_answers, machine.missed_since, machine.missed_when_probed = (
+        MISSED_BEFORE_PROBE,
+        now,
+        MISSED_BEFORE_PROBE,
+    )
 
 
-def obeys(machine: Machine) -> None:
+def acknowledged(machine: Machine) -> None:
     """A machine has shown what only an answer can have told it."""
-    machine.unheard = machine.unheard_asked = 0
+    machine.missed_answers = machine.missed_when_probed = 0
 
 
-def taken_back(machine: Machine, report: wire.Report) -> None:
+def readmit_if_reached(machine: Machine, report: wire.Heartbeat) -> None:
     """A machine that was given up may be used again if a direct command has reached it after all,
     and its release has not been asked for. Where direct commands reached it all the time, that
     tells nothing of answers."""
     if (
-        machine.deaf
-        and report.token >= machine.token
-        and machine.unheard < CERTAIN
+        machine.unacknowledging
+        and report.fencing_token >= machine.fencing_token
+        and machine.missed_answers < MISSED_BEFORE_GIVING_UP
         and not machine.dropped
-        and not machine.returning
+        and not machine.releasing
     ):
         log.info("%s obeys again", machine.name)
-        machine.deaf = machine.given_up = False
-        machine.node = None
-        obeys(machine)
+        machine.unacknowledging = machine.given_up = False
+        machine.sched_view = None
+        acknowledged(machine)
--- a/badgerseam/workers/fault_attribution.py
+++ b/badgerseam/workers/fault_attribution.py
@@ -22,32 +22,32 @@
 """A task that runs on for so long, and for twice as long as any of its job that failed, works."""
 
 
-def failed(machine: Machine, attempt: Attempt, now: float) -> bool:
+def record_failure(machine: Machine, attempt: Attempt, now: float) -> bool:
     """Note that a task has failed on a machine; whether the machine is faulty by what is known.
 
     Jobs with mistakes drained one good machine after the other, with all images that they held.
     """
     job = attempt.job
-    was = job.at_fault
+    was = job.is_at_fault
     ran_s = now - attempt.started_at if attempt.started_at > 0 else 0.0
-    job.failed(now, machine.index, ran_s)
-    if job.at_fault and not was:
+    job.record_failure(now, machine.index, ran_s)
+    if job.is_at_fault and not was:
         log.info("%s fails on every machine: tried one task at a time", job.id)
     machine.failed_jobs.add(job)
-    return sum(not other.at_fault for other in machine.failed_jobs) >= FAULTY_JOBS
+    return sum(not other.is_at_fault for other in machine.failed_jobs) >= FAULTY_JOBS
 
 
-def completed(machine: Machine, job: Job) -> None:
+def record_completion(machine: Machine, job: Job) -> None:
     """A task of a job has completed on a machine."""
     machine.failed_jobs.discard(job)
-    job.worked()
+    job.record_success()
 
 
-def runs_on(attempt: Attempt, now: float) -> None:
+def record_steady_run(attempt: Attempt, now: float) -> None:
     """A task is seen to run. Those of services never complete: one that runs on where others had
     failed tells that its job works."""
     job = attempt.job
-    if job.errors and job.service:
+    if job.errors and job.is_service:
         ran_s = now - attempt.started_at
         if ran_s > max(SETTLED_S, 2 * job.failed_after_s):
-            job.worked()
+            job.record_success()
--- a/badgerseam/workers/inspection.py
+++ b/badgerseam/workers/inspection.py
@@ -6,20 +6,20 @@
 
 import msgspec
 
-from badgerseam.http.client import Client, NoResponse
+from badgerseam.http.client import HttpClient, NoResponseError
 from badgerseam.model.model import Model
 from badgerseam.wire import workers as wire
 
 log = logging.getLogger("badgerseam.workers")
 
 
-async def inspect(http: Client, address: str, deadline_s: float) -> wire.Report | None:
+async def inspect(http: HttpClient, address: str, deadline_s: float) -> wire.Heartbeat | None:
     """The report of the worker at an address; None if there is none within the deadline, or what
     answers is no worker. It renews no lease."""
     try:
         response = await http.request(address, "GET", "/inspect", None, deadline_s)
-        return wire.report_decoder.decode(response.body) if response.status == 200 else None
-    except (NoResponse, msgspec.DecodeError):
+        return wire.heartbeat_decoder.decode(response.body) if response.status == 200 else None
+    except (NoResponseError, msgspec.DecodeError):
         log.debug("%s cannot be inspected", address)
         return None
 
@@ -28,8 +28,8 @@
     """Whether machines were taken over with work on them, and without their addresses."""
     return any(
         machine.attempts
-        and not machine.addr
-        and machine.session == 0
-        and model.shares[machine.share].owned
+        and not machine.address
+        and machine.incarnation == 0
+        and model.shards[machine.shard].owned
         for machine in model.machines.values()
     )
