--- /dev/null
+++ b/tests/test_docs.py
@@ -0,0 +1,90 @@
+"""Documents name what is there: files, classes, their members, functions and tests."""
+
+from __future__ import annotations
+
+import ast
+import re
+from pathlib import Path
+
+import pytest
+
+import badgerseam
+
+PACKAGE = Path(badgerseam.__file__).parent
+ROOT = PACKAGE.parent
+DOCUMENTS = ("docs/architecture.md", "docs/glossary.md", "docs/design.md", "CONTRIBUTING.md")
+
+QUOTED = re.compile(r"`([^`\n]+)`")
+MEMBER = re.compile(r"([A-Z][A-Za-z]+)\.([a-z_][A-Za-z_]*)(?:\(\))?")
+FUNCTION = re.compile(r"([a-z_]+)\(\)")
+PYTHON_FILE = re.compile(r"[a-z_/0-9]+\.py")
+
+
+class Names:
+    """All definitions of the package and its tests."""
+
+    def __init__(self) -> None:
+        self.members: dict[str, set[str]] = {}
+        self.bases: dict[str, set[str]] = {}
+        self.functions: set[str] = set()
+        self.files: set[str] = set()
+        for top in (PACKAGE, ROOT / "tests"):
+            for path in top.rglob("*.py"):
+                self._add_file(path)
+
+    def _add_file(self, path: Path) -> None:
+        parts = path.relative_to(ROOT).parts
+        self.files.update("/".join(parts[start:]) for start in range(len(parts)))
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ClassDef):
+                self._add_class(node)
+            elif isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
+                self.functions.add(node.name)
+
+    def _add_class(self, node: ast.ClassDef) -> None:
+        members = self.members.setdefault(node.name, set())
+        self.bases.setdefault(node.name, set()).update(ast.unparse(base) for base in node.bases)
+        for child in ast.walk(node):
+            if isinstance(child, ast.FunctionDef | ast.AsyncFunctionDef):
+                members.add(child.name)
+            elif isinstance(child, ast.AnnAssign | ast.Assign):
+                targets = [child.target] if isinstance(child, ast.AnnAssign) else child.targets
+                for target in targets:
+                    if isinstance(target, ast.Name):
+                        members.add(target.id)
+                    elif isinstance(target, ast.Attribute):
+                        members.add(target.attr)
+
+    def has_member(self, name: str, member: str) -> bool:
+        if name not in self.members:
+            return False
+        inherited = (base for base in self.bases[name] if base in self.members)
+        return member in self.members[name] or any(self.has_member(b, member) for b in inherited)
+
+    def missing(self, text: str) -> str | None:
+        """What a quoted text names that is not there, if it names anything."""
+        if PYTHON_FILE.fullmatch(text):
+            return None if text in self.files or (ROOT / text).exists() else text
+        if match := MEMBER.fullmatch(text):
+            return None if self.has_member(*match.groups()) else text
+        if match := FUNCTION.fullmatch(text):
+            return None if match.group(1) in self.functions else text
+        return None
+
+
+@pytest.fixture(scope="module")
+def names() -> Names:
+    return Names()
+
+
+@pytest.mark.parametrize("document", DOCUMENTS)
+def test_a_document_names_what_is_there(names: Names, document: str) -> None:
+    quoted = QUOTED.findall((ROOT / document).read_text())
+    assert quoted
+    missing = {text for text in map(names.missing, quoted) if text is not None}
+    assert not missing
+
+
+def test_a_wrong_name_is_found(names: Names) -> None:
+    for text in ("no/such_file.py", "Membership.no_such_method", "NoSuchClass.member", "no_such()"):
+        assert names.missing(text) == text
