--- a/badgerseam/fleet/policy.py
+++ b/badgerseam/fleet/policy.py
@@ -216,7 +216,7 @@
             if node.idle_slots >= 0.5 * node.slots
             # A member of a replica that spans machines leaves with all others or not at all.
             and all(task.group is None for task in node.running)
-            and all(task.service and now - task.placed_at > SETTLED_S for task in node.running)
+            and all(task.is_service and now - task.placed_at > SETTLED_S for task in node.running)
         ),
         key=lambda node: node.slots - node.idle_slots,
     )
--- a/badgerseam/replicas/reconciler.py
+++ b/badgerseam/replicas/reconciler.py
@@ -448,14 +448,14 @@
 
     def _carry_out(self, entry: ReplicatedJob, whole: GangStart) -> None:
         replica = entry.replicas[whole.number]
-        if not whole.seek:
+        if not whole.reserve_only:
             due = [task for task in replica.want if entry.job.status[task] == IDLE]
             if len(due) == len(whole.nodes):
                 self._place(entry, replica, sorted(due), whole.nodes)
                 self._review(entry, replica)
             return
         members = replica.want or replica.seek
-        if whole.anew:
+        if whole.moves_whole:
             tasks = entry.shape.tasks(whole.number)
             members = frozenset(task for task in tasks if entry.job.status[task] != FINISHED)
         # Another replica of the job may have been given its turn by the same plan.
--- a/badgerseam/sched/gang_placement.py
+++ b/badgerseam/sched/gang_placement.py
@@ -34,11 +34,11 @@
 
     position: int
     count: int
-    used: bool = False
+    has_members: bool = False
     """The replica has members there that stay."""
 
 
-def choose(
+def choose_positions(
     rooms: list[MachineCapacity], count: int, distinct: int, least: int, most: int | None
 ) -> list[int]:
     """The position for each of so many tasks, the first rooms preferred; empty if there is none.
@@ -51,7 +51,7 @@
         if len(taken) >= count:
             break
         behind = rooms[index + 1 :]
-        spans = distinct + (not room.used)
+        spans = distinct + (not room.has_members)
         for tasks in range(min(room.count, count - len(taken)), 0, -1):
             if _completes(behind, count - len(taken) - tasks, spans, least, most):
                 taken += [room.position] * tasks
@@ -68,13 +68,13 @@
     lacking = max(0, least - distinct)
     if lacking > count:
         return False
-    fresh = sorted((room.count for room in rooms if not room.used), reverse=True)
+    fresh = sorted((room.count for room in rooms if not room.has_members), reverse=True)
     if len(fresh) < lacking:
         return False
     if most is not None:
         fresh = fresh[: most - distinct]
     # Where more machines are wanted than the largest rooms need, one task goes to each of them.
-    return sum(fresh) + sum(room.count for room in rooms if room.used) >= count
+    return sum(fresh) + sum(room.count for room in rooms if room.has_members) >= count
 
 
 def place(
@@ -87,17 +87,17 @@
         return 0
     taker = _GangSearch(bench, request, score)
     taker.reserve(-1)
-    within = span.seek or _within_limit(bench, request)
+    within = span.reserve_only or _within_limit(bench, request)
     found = within and taker.place_soonest()
     if not found:
         taker.reserve(1)
         if look is not None:
             look(request.zone_counts, min(request.count - 1, taker.reached))
-        if within and not span.seek:
+        if within and not span.reserve_only:
             waiting = bench.result.waiting
             waiting[request.job] = waiting.get(request.job, 0) + request.count
         return 0
-    return 0 if span.seek or taker.anew else request.count
+    return 0 if span.reserve_only or taker.anew else request.count
 
 
 def _within_limit(bench: TentativeState, request: Request) -> bool:
@@ -127,7 +127,7 @@
             if index in positions:
                 node = bench.node(positions[index])
                 node.free = node.free.minus(need) if sign > 0 else node.free.plus(need)
-                bench.changed(positions[index])
+                bench.on_capacity_changed(positions[index])
 
     def place_soonest(self) -> bool:
         """Take the room that has the replica up the soonest; False if there is none."""
@@ -136,7 +136,7 @@
             if evict and not self._may_evict():
                 break
             keep = self._best(request, evict)
-            if span.anew and span.reserved and not evict:
+            if span.may_move_whole and span.reserved and not evict:
                 whole = self._request_for_whole()
                 anew = self._best(whole, evict)
                 # The weights of those that stay are what a restart costs: replacing one is slower
@@ -165,8 +165,8 @@
         # What is to be reserved takes nobody's room: it would be lost with the owner's memory that
         # somebody was stopped for it.
         return (
-            bench.evict
-            and not self._span.seek
+            bench.may_evict
+            and not self._span.reserve_only
             and (request.high or bench.others_exceed_guarantee(request))
         )
 
@@ -231,13 +231,19 @@
         rooms.sort(key=lambda item: (item[0], item[1].position))
         ordered = self._within_zones(request, [room for _, room in rooms])
         self.reached = max(self.reached, sum(room.count for room in ordered))
-        return choose(ordered, request.count, len(staying), span.least, span.most)
+        return choose_positions(
+            ordered, request.count, len(staying), span.min_machines, span.max_machines
+        )
 
     def _with_victims(self, node: MachineSnapshot, request: Request) -> Resources:
         """A machine's room if all went that may be evicted; a claim may have less of it."""
         bench, free = self._bench, node.free
         for running in node.running:
-            unit = [running] if bench.groups is None else bench.groups.members_with(running)
+            unit = (
+                [running]
+                if bench.eviction_groups is None
+                else bench.eviction_groups.members_with(running)
+            )
             if all(may_evict(bench, request, v, Resources(0.0, 0.0, 0.0)) for v in unit):
                 free = free.plus(running.demand)
         return free
@@ -254,7 +260,9 @@
             zone = self._bench.nodes[room.position].zone
             most = left.get(zone, request.zone_limit - request.zone_counts.get(zone, 0))
             if most > 0:
-                found.append(MachineCapacity(room.position, min(room.count, most), room.used))
+                found.append(
+                    MachineCapacity(room.position, min(room.count, most), room.has_members)
+                )
                 left[zone] = most - found[-1].count
         return found
 
@@ -263,7 +271,7 @@
         bench, span = self._bench, self._span
         zones = dict(request.zone_counts)
         team = bench.teams[request.team]
-        uses = not (span.seek or self.anew)
+        uses = not (span.reserve_only or self.anew)
         steps: list[tuple[int, list[tuple[RunningTask, float]]]] = []
         for spot in spots:
             victims: list[tuple[RunningTask, float]] = []
@@ -288,16 +296,16 @@
                 for victim, _ in reversed(victims):
                     evict_tentatively(bench, position_of(bench, victim, spot), victim, -1)
             return False
-        bench.full = [other for other in bench.full if other.team == request.team]
+        bench.unplaced = [other for other in bench.unplaced if other.team == request.team]
         for _, victims in steps:
             if victims:
-                bench.full.clear()
+                bench.unplaced.clear()
             bench.result.stops += [
                 TaskStop(victim.key, cost, request.wait_s, request.job) for victim, cost in victims
             ]
         nodes = [bench.nodes[spot].index for spot in spots]
         bench.result.gang_starts.append(
-            GangStart(request.job, span.number, nodes, span.seek or self.anew, self.anew)
+            GangStart(request.job, span.number, nodes, span.reserve_only or self.anew, self.anew)
         )
         return True
 
--- a/badgerseam/sched/pts.py
+++ b/badgerseam/sched/pts.py
@@ -172,7 +172,7 @@
 def _place(bench: TentativeState, request: Request, look: OnUnplaced | None) -> int:
     if request.count <= 0:
         return 0
-    if bench.is_hopeless(request):
+    if bench.is_known_unplaceable(request):
         if look is not None:
             look(request.zone_counts, 0)
         return 0
@@ -184,15 +184,15 @@
         position, victims = candidates.choose()
         if position is None:
             if request.is_plain and not request.gang:
-                bench.full.append(request)
+                bench.unplaced.append(request)
             break
         for victim, _ in victims:
             evict_tentatively(bench, position_of(bench, victim, position), victim, 1)
         place_tentatively(bench, position, request, zones, 1)
         team.used = team.used.plus(request.demand)
         candidates.update(position)
-        if victims and bench.groups is not None:
-            for other in bench.groups.other_positions(position, victims):
+        if victims and bench.eviction_groups is not None:
+            for other in bench.eviction_groups.other_positions(position, victims):
                 candidates.update(other)
         steps.append(_PlacedTask(position, victims))
     if look is not None and len(steps) < request.count:
@@ -207,11 +207,11 @@
         return 0
     if steps:
         # What a team has beyond its guarantee has grown: another may claim it now.
-        bench.full = [other for other in bench.full if other.team == request.team]
+        bench.unplaced = [other for other in bench.unplaced if other.team == request.team]
     for step in steps:
         if step.victims:
             # Their room may serve requests that found none before.
-            bench.full.clear()
+            bench.unplaced.clear()
         bench.result.stops += [
             TaskStop(victim.key, cost, request.wait_s, request.job) for victim, cost in step.victims
         ]
@@ -291,9 +291,9 @@
         self._request = request
         self._zones = zones
         # By how surely the start will be in time; the last takes any machine.
-        graded = bench.evict and request.wait_s is not None
+        graded = bench.may_evict and request.wait_s is not None
         self._pools = [_CandidatePool(request) for _ in range(GRADES if graded else 1)]
-        self._may_evict = bench.evict
+        self._may_evict = bench.may_evict
         self._victims: dict[int, tuple[list[RunningTask], float]] | None = None
         """What may be evicted, by position: the victims and their waste."""
         for position in bench.with_free_capacity:
--- a/badgerseam/sched/snapshot.py
+++ b/badgerseam/sched/snapshot.py
@@ -16,23 +16,23 @@
     demand: Resources
     rank: int
     team: int
-    since: float | None
+    running_since: float | None
     """When it was seen to run; None if it was not yet."""
     checkpoint_s: float
-    evictable: bool
+    is_evictable: bool
     high: bool = False
     ends_at: float = math.inf
     """When it should have ended by its owner's estimate."""
-    service: bool = False
+    is_service: bool = False
     placed_at: float = 0.0
     group: tuple[int, int] | None = None
     """The replica that it is a member of, which is evicted whole; None if it stands alone."""
 
     def waste(self, now: float) -> float:
         """Slots times the time since the last checkpoint that the declared interval implies."""
-        if self.since is None:
+        if self.running_since is None:
             return 0.0
-        ran = now - self.since
+        ran = now - self.running_since
         if self.checkpoint_s > 0:
             ran = math.fmod(ran, self.checkpoint_s)
         return slots_of(self.demand) * ran
@@ -89,8 +89,8 @@
     number: int
     size: int
     """Tasks of the whole replica."""
-    least: int = 1
-    most: int | None = None
+    min_machines: int = 1
+    max_machines: int | None = None
     """Machines that the whole replica spans."""
     same_zone: bool = True
     same_type: bool = False
@@ -98,9 +98,9 @@
     """Machine, zone and type of each member that stays where it is."""
     reserved_positions: tuple[int, ...] = ()
     """Machines on which room for a task is kept from others, once for each task."""
-    seek: bool = False
+    reserve_only: bool = False
     """The tasks run: their new room is only reserved, and nothing more is used meanwhile."""
-    anew: bool = False
+    may_move_whole: bool = False
     """Where there is no room beside the members that stay, the whole replica may be moved."""
     zone: str | None = None
     """Where machines are rented for it, if its job's rules leave it only some zones."""
@@ -196,7 +196,7 @@
     beta: float
     window_s: float
     now: float = 0.0
-    grouped: bool = False
+    has_gangs: bool = False
     """Some of what runs belongs to replicas that span machines."""
 
 
@@ -214,8 +214,8 @@
     number: int
     nodes: list[int]
     """The machine of each task."""
-    seek: bool = False
-    anew: bool = False
+    reserve_only: bool = False
+    moves_whole: bool = False
     """All of its tasks, while some of them run: room is reserved, and they are moved."""
 
 
--- a/badgerseam/sched/tentative_state.py
+++ b/badgerseam/sched/tentative_state.py
@@ -26,7 +26,7 @@
     """The machines and teams as a plan changes them."""
 
     def __init__(self, snapshot: Snapshot, evict: bool) -> None:
-        self.evict = evict
+        self.may_evict = evict
         self.now = snapshot.now
         self.finished = snapshot.finished
         self.evicted = snapshot.evicted
@@ -47,11 +47,11 @@
             if self._least.fits_in(node.free)
         }
         """Positions of the machines with room for the smallest request."""
-        self.full: list[Request] = []
+        self.unplaced: list[Request] = []
         """Requests that found no room: what takes no less finds none either."""
         self.changes = 0
         """Counts what was pretended; between two equal counts nothing has changed."""
-        self.groups = EvictionGroups(self.nodes) if snapshot.grouped else None
+        self.eviction_groups = EvictionGroups(self.nodes) if snapshot.has_gangs else None
         """Replicas that span machines; None if there are none."""
 
     def node(self, position: int) -> MachineSnapshot:
@@ -61,7 +61,7 @@
             self.nodes[position] = self.nodes[position].copy()
         return self.nodes[position]
 
-    def changed(self, position: int) -> None:
+    def on_capacity_changed(self, position: int) -> None:
         """A machine's room has changed, and with it what its team uses."""
         self.changes += 1
         if self._least.fits_in(self.nodes[position].free):
@@ -85,7 +85,7 @@
             for index, team in self.teams.items()
         )
 
-    def is_hopeless(self, request: Request) -> bool:
+    def is_known_unplaceable(self, request: Request) -> bool:
         """Whether a request like this one, and no larger, has found no room."""
         return any(
             other.demand.fits_in(request.demand)
@@ -93,16 +93,16 @@
             and other.high >= request.high
             and other.team == request.team
             and (other.spot or not request.spot)
-            for other in self.full
+            for other in self.unplaced
         )
 
 
 def position_of(bench: TentativeState, victim: RunningTask, position: int) -> int:
     """Where a victim is that is evicted for room at a position: there, or, as a member of a
     replica, on another of its machines."""
-    if victim.group is None or bench.groups is None:
+    if victim.group is None or bench.eviction_groups is None:
         return position
-    return bench.groups.at(victim)
+    return bench.eviction_groups.at(victim)
 
 
 def evict_tentatively(bench: TentativeState, position: int, victim: RunningTask, sign: int) -> None:
@@ -123,7 +123,7 @@
     node.low_slots -= sign * slots_of(victim.demand)
     node.evictions += sign
     bench.evicted += sign
-    bench.changed(position)
+    bench.on_capacity_changed(position)
 
 
 def place_tentatively(
@@ -144,7 +144,7 @@
         zones[node.zone] = count
     else:
         del zones[node.zone]
-    bench.changed(position)
+    bench.on_capacity_changed(position)
 
 
 class Predicate(IntFlag):
@@ -228,7 +228,7 @@
         self._request = request
         self._zones = zones
         self._limit = 0 if bench.within_limit(request) else _LIMIT
-        self._evicts = bench.evict and (request.high or bench.others_exceed_guarantee(request))
+        self._evicts = bench.may_evict and (request.high or bench.others_exceed_guarantee(request))
 
     def failed(self, node: MachineSnapshot) -> int:
         """Bits of Bar; 0 if the task fits."""
@@ -249,7 +249,7 @@
     bench: TentativeState, request: Request, victim: RunningTask, freed: Resources
 ) -> bool:
     """HP and LP are relative: a lower rank, or borrowed room when a team claims its own."""
-    if not victim.evictable:
+    if not victim.is_evictable:
         return False
     if victim.rank < request.rank and request.high:
         return True
@@ -267,9 +267,9 @@
 
 def victims_on(bench: TentativeState, node: MachineSnapshot, request: Request) -> list[RunningTask]:
     """Whose room on a machine would do for a task, the greatest waste spared; empty if none."""
-    if bench.groups is not None:
+    if bench.eviction_groups is not None:
         allowed = partial(may_evict, bench, request)
-        return bench.groups.victims_on(node, request, bench.now, allowed)
+        return bench.eviction_groups.victims_on(node, request, bench.now, allowed)
     victims: list[RunningTask] = []
     freed: dict[int, Resources] = {}
     room = node.free
