--- a/badgerseam/classes/priority_inversions.py
+++ b/badgerseam/classes/priority_inversions.py
@@ -13,7 +13,7 @@
 
 from badgerseam.model.resources import Resources
 from badgerseam.sched import pts
-from badgerseam.sched.tentative_state import failed_job_predicates
+from badgerseam.sched.predicates import failed_job_predicates
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgerseam/explain/members.py
+++ b/badgerseam/explain/members.py
@@ -32,7 +32,7 @@
             change="The other members have left their machines, or the pause is over after a start "
             "that came to nothing.",
         )
-    if span.reserved:
+    if span.staying_members:
         text = (
             f"Replica {span.number} is degraded: {finding.request.count} of its {span.size} tasks "
             f"wait for room beside the others, and {finding.reached} would find it{standing}."
--- a/badgerseam/explain/reasons.py
+++ b/badgerseam/explain/reasons.py
@@ -13,8 +13,8 @@
 from badgerseam.model.model import Model
 from badgerseam.model.resources import Resources
 from badgerseam.sched.diagnosis import Finding, Infeasibility
+from badgerseam.sched.predicates import Predicate
 from badgerseam.sched.snapshot import slots_of
-from badgerseam.sched.tentative_state import Predicate
 from badgerseam.wire.explain import Ahead, Code, Group, Reason, State
 from badgerseam.wire.users import Terms
 
--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -14,8 +14,8 @@
 from badgerseam.model.model import Model
 from badgerseam.model.state import Shard
 from badgerseam.sched.planner import Planner
+from badgerseam.sched.predicates import failed_job_predicates
 from badgerseam.sched.snapshot import MachineSnapshot, Request
-from badgerseam.sched.tentative_state import failed_job_predicates
 from badgerseam.wire.explain import CloudView, Reason
 
 VIEW_S = 1.0
--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -201,15 +201,15 @@
             continue
         left[request.job] -= request.count
         zones = dict(request.zone_counts)
-        if span.reserved and span.same_zone:
-            request = replace(request, zone=span.reserved[0][1])
+        if span.staying_members and span.same_zone:
+            request = replace(request, zone=span.staying_members[0].zone)
         elif span.zone is not None:
             request = replace(request, zone=span.zone)
         elif span.same_zone:
             request = replace(request, one_zone=True)
             zones = {}
-        if span.reserved and span.same_type:
-            request = replace(request, types=frozenset({span.reserved[0][2]}))
+        if span.staying_members and span.same_type:
+            request = replace(request, types=frozenset({span.staying_members[0].type}))
         wants.append(_UnplacedTasks(request, request.count, zones))
     return wants[::-1]
 
--- a/badgerseam/replicas/requests.py
+++ b/badgerseam/replicas/requests.py
@@ -11,7 +11,7 @@
 from badgerseam.replicas.reservations import Reservations
 from badgerseam.replicas.shapes import ReplicaShape
 from badgerseam.sched.planner import MAX_STARTS, SAVE_SLACK_S, Planner
-from badgerseam.sched.snapshot import GangRules, Request
+from badgerseam.sched.snapshot import GangRules, Request, StayingMember
 
 TURN_S = 20.0
 """How long machines are rented in one zone for a replica that could be in several."""
@@ -71,7 +71,7 @@
             rules.machines_most,
             rules.same_zone,
             rules.same_type,
-            tuple((machine.index, machine.zone, machine.type) for machine in stay),
+            tuple(StayingMember(machine.index, machine.zone, machine.type) for machine in stay),
             tuple(self._rooms.machines_for((job.index, number))),
             seek,
             degraded and rules.moves > 0 and self._model.is_active(Behaviour.NOTES),
--- a/tests/sched/test_diagnosis.py
+++ b/tests/sched/test_diagnosis.py
@@ -10,7 +10,8 @@
 from badgerseam.model.resources import NOTHING, Resources
 from badgerseam.sched import pts
 from badgerseam.sched.diagnosis import Finding, survey
-from badgerseam.sched.tentative_state import Predicate, PredicateCheck, TentativeState
+from badgerseam.sched.predicates import Predicate, PredicateCheck
+from badgerseam.sched.tentative_state import TentativeState
 from tests.sched.test_pts import node, request, snapshot, victim
 
 INF = float("inf")
