--- a/tests/sched/test_aging.py
+++ b/tests/sched/test_aging.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from badgerseam.model.job import Job
-from badgerseam.sched.planner import GANG_GATHER_S, OLDEST_JOB_MAX_CREDIT
+from badgerseam.sched.oldest_job import GANG_GATHER_S, OLDEST_JOB_MAX_CREDIT
 from tests.support.scripted_peers import ControllerFixture
 
 
