--- a/badgerseam/explain/members.py
+++ b/badgerseam/explain/members.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from badgerseam.model.job import Job
-from badgerseam.replicas.phases import NAMES, ReplicaPhase
+from badgerseam.replicas.phases import REPLICA_PHASE_NAMES, ReplicaPhase
 from badgerseam.sched.diagnosis import Finding
 from badgerseam.wire.explain import Reason
 from badgerseam.wire.state import StoredReplica
@@ -21,7 +21,9 @@
         for note in job.notes.values()
         if isinstance(note, StoredReplica) and note.phase in KNOWN
     )
-    standing = ", ".join(f"{count} {NAMES[phase]}" for phase, count in sorted(phases.items()))
+    standing = ", ".join(
+        f"{count} {REPLICA_PHASE_NAMES[phase]}" for phase, count in sorted(phases.items())
+    )
     standing = f" (its replicas: {standing})" if standing else ""
     span = None if finding is None else finding.request.gang_rules
     if finding is None or span is None:
--- a/badgerseam/replicas/phases.py
+++ b/badgerseam/replicas/phases.py
@@ -1,15 +1,18 @@
-"""What a replica is meant to be, and what follows from what is seen of its members.
+"""The phases of a replica: its intent, what is observed of its members, and the next decision.
 
-`decide` is pure and looks at levels, not at edges: a new owner that has read a replica's note and
-its rows goes on from there, whatever the one before had done or had only begun.
+`decide` is a pure function of the current state (level-triggered, not edge-triggered): a new owner
+that has read a replica's note and its rows continues from there, whatever the owner before it had
+done or had only begun.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field, replace
+from collections.abc import Callable
+from dataclasses import dataclass, replace
 from enum import IntEnum
+from typing import NamedTuple
 
-NONE: frozenset[int] = frozenset()
+NO_MEMBERS: frozenset[int] = frozenset()
 
 
 class ReplicaPhase(IntEnum):
@@ -18,19 +21,20 @@
     WAITING = 0
     """None of its members has a machine."""
     FORMING = 1
-    """All have one, and start."""
+    """All members have a machine, and start."""
     UP = 2
+    """All members run, on machines that send heartbeats."""
     DEGRADED = 3
-    """Members are lacking, or cannot be reached."""
+    """Members are missing, or cannot be reached."""
     REPAIRING = 4
-    """What lacked has a machine, and starts."""
+    """The missing members have a machine, and start."""
     MOVING = 5
-    """Room is reserved for members that leave their machines."""
+    """Capacity is reserved for members that leave their machines."""
     STOPPING = 6
-    """All members are stopped, and their room is returned."""
+    """All members are stopped, and their capacity is released."""
 
 
-NAMES = {
+REPLICA_PHASE_NAMES = {
     ReplicaPhase.WAITING: "waiting",
     ReplicaPhase.FORMING: "forming",
     ReplicaPhase.UP: "up",
@@ -43,57 +47,79 @@
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """What is durable of a replica, apart from the rows of its tasks."""
+    """The durable state of a replica, apart from the rows of its tasks."""
 
     phase: ReplicaPhase = ReplicaPhase.WAITING
     generation: int = 0
-    """Rises whenever it is started anew."""
+    """Rises whenever the replica is started anew."""
     began_at: float = 0.0
-    """Since when, on the owner's clock; of one degraded or in repair since when it is not up, so
-    that one loss after the other does not put off its end."""
-    members: frozenset[int] = NONE
-    """Those that the phase is about: lost, or moved."""
+    """When the phase began, on the owner's clock; 0 if unknown. For DEGRADED and REPAIRING: since
+    when the replica is not up, so that repeated losses do not postpone its end."""
+    members: frozenset[int] = NO_MEMBERS
+    """The members that the phase is about: missing, or moved."""
     targets: tuple[str, ...] = ()
     """Of a move: the machine that is reserved for each member, in order of their numbers."""
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedMembers:
-    """What is known of the members now. Every member is in `absent`, `planned`, `placed` or `runs`,
-    unless it is done."""
+    """What is known of the members now.
 
-    absent: frozenset[int] = NONE
+    Invariant: every member that is not finished is in exactly one of `absent`, `planned`, `placed`
+    and `running`.
+    """
+
+    absent: frozenset[int] = NO_MEMBERS
     """Certainly on no machine."""
-    planned: frozenset[int] = NONE
-    """Not durable yet."""
-    placed: frozenset[int] = NONE
-    """Durable, not seen to run."""
-    running: frozenset[int] = NONE
-    unseen: frozenset[int] = NONE
-    """Of `placed`: by an owner before this one, which may have seen them run."""
-    stopping: frozenset[int] = NONE
-    """Of those with a machine: told to stop, or to be told."""
-    unresponsive: frozenset[int] = NONE
-    """Of those with a machine: it is silent, so that nothing is certain of them."""
-    draining: frozenset[int] = NONE
-    """Of those with a machine: it is to be given up, and answers."""
+    planned: frozenset[int] = NO_MEMBERS
+    """Their placement is not durable yet."""
+    placed: frozenset[int] = NO_MEMBERS
+    """Their placement is durable; no heartbeat has shown them running."""
+    running: frozenset[int] = NO_MEMBERS
+    """A heartbeat has shown them running."""
+    unseen: frozenset[int] = NO_MEMBERS
+    """Of `placed`: placed by an earlier owner, which may have seen them run."""
+    stopping: frozenset[int] = NO_MEMBERS
+    """Of those with a machine: a stop is sent, or is to be sent."""
+    unresponsive: frozenset[int] = NO_MEMBERS
+    """Of those with a machine: it sends no heartbeats, so that nothing is certain of them."""
+    draining: frozenset[int] = NO_MEMBERS
+    """Of those with a machine: it is draining, and sends heartbeats."""
     durable: bool = True
-    """The intent is."""
+    """The state service holds the intent."""
     reservation_usable: bool = True
-    """What a move has reserved is still there."""
+    """Every machine that a move has reserved can still be used."""
     since: float = 0.0
-    """Since when this owner acts: bounds begin no sooner, as it has to hear the members first."""
+    """When this owner took over the shard: timeouts begin no sooner, as the owner has to receive
+    heartbeats of the members first."""
     may_move: bool = True
     """One more replica of the job may be down for a move."""
 
     @property
     def present(self) -> frozenset[int]:
+        """The members with a machine."""
         return self.planned | self.placed | self.running
 
     @property
     def all_members(self) -> frozenset[int]:
+        """The members that are not finished."""
         return self.absent | self.present
 
+    @property
+    def all_placed(self) -> bool:
+        """Whether the placement of every member is durable: none of them would start alone."""
+        return not self.absent and not self.planned
+
+    @property
+    def all_running(self) -> bool:
+        """Whether every member runs undisturbed, on a machine that sends heartbeats."""
+        return self.all_placed and not (self.placed or self.stopping or self.unresponsive)
+
+    @property
+    def all_stopping(self) -> bool:
+        """Whether every member with a machine is being stopped."""
+        return self.stopping >= self.present
+
 
 @dataclass(frozen=True, slots=True)
 class PhaseTimeouts:
@@ -102,171 +128,196 @@
     form_s: float
     degraded_s: float
     pause_s: float = 2.0
-    """After a start that came to nothing: others have their turn with the room."""
+    """Backoff after a start that failed: other work may use the capacity meanwhile."""
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What to do now."""
+    """The intent as it has to be now, and the actions that follow from it."""
 
     intent: Intent
-    wanted: frozenset[int] = NONE
-    """Members that need room, all of them or none."""
-    seek: frozenset[int] = NONE
-    """Members for which room is to be reserved while they run."""
-    stop: frozenset[int] = NONE
+    to_place: frozenset[int] = NO_MEMBERS
+    """Members that need machines, all of them or none."""
+    to_reserve: frozenset[int] = NO_MEMBERS
+    """Members for which capacity is to be reserved while they run."""
+    stop: frozenset[int] = NO_MEMBERS
+    """Members that are to be stopped."""
     launch: bool = False
     """Members with a machine may be launched."""
     move_into_reservation: bool = False
-    """The reserved room is to be taken by all moved members, in one write."""
-    due: float | None = field(default=None)
-    """When to look again if nothing changes."""
-
-
-def decide(intent: Intent, seen: ObservedMembers, bounds: PhaseTimeouts, now: float) -> Decision:
-    """The intent as it has to be now, and what follows. At rest: the same again for its own
-    result."""
-    for _ in range(len(ReplicaPhase) + 1):
-        found = _AT[intent.phase](intent, seen, bounds, now)
-        if found.intent.phase == intent.phase:
-            return found
-        intent = found.intent
-    raise AssertionError("phases without rest")
+    """All moved members are to be placed on the reserved machines, in one write."""
+    due: float | None = None
+    """When to decide again if nothing changes."""
 
 
-def _began(intent: Intent, seen: ObservedMembers) -> float:
-    # A new owner knows running members only from their reports: with the bound of the owner before
-    # it, a replica that had long been up was stopped by the first look after a takeover.
-    return max(intent.began_at, seen.since)
+class _Situation(NamedTuple):
+    """What a decision is made on, apart from the intent."""
 
+    observed: ObservedMembers
+    timeouts: PhaseTimeouts
+    now: float
 
-def _whole(seen: ObservedMembers) -> bool:
-    """All members have a durable place: none of them is left alone."""
-    return not seen.absent and not seen.planned
+    def deadline(self, intent: Intent, timeout_s: float) -> float:
+        """When a phase of the intent times out."""
+        # A new owner knows running members only from their heartbeats: with the timeout of the
+        # owner before it, a replica that had long been up was stopped by the first review after a
+        # takeover.
+        return max(intent.began_at, self.observed.since) + timeout_s
 
 
-def _up(seen: ObservedMembers) -> bool:
-    return _whole(seen) and not seen.placed and not seen.stopping and not seen.unresponsive
-
+def decide(
+    intent: Intent, observed: ObservedMembers, timeouts: PhaseTimeouts, now: float
+) -> Decision:
+    """The decision at a time (seconds on the owner's clock).
 
-def _waiting(intent: Intent, seen: ObservedMembers, bounds: PhaseTimeouts, now: float) -> Decision:
-    if seen.present:
-        return Decision(
-            replace(
-                intent, phase=ReplicaPhase.FORMING, generation=intent.generation + 1, began_at=now
-            )
-        )
-    ready = intent.began_at + bounds.pause_s if intent.began_at else now
-    if now < ready:
-        return Decision(intent, due=ready)
-    return Decision(intent, wanted=seen.absent)
-
-
-def _forming(intent: Intent, seen: ObservedMembers, bounds: PhaseTimeouts, now: float) -> Decision:
-    if _up(seen):
-        return Decision(replace(intent, phase=ReplicaPhase.UP, began_at=now, members=NONE))
-    if not seen.present:
-        # Refused by the state service, or all of it gone at once.
-        return Decision(replace(intent, phase=ReplicaPhase.WAITING, began_at=now, members=NONE))
-    ends = _began(intent, seen) + bounds.form_s
-    if now >= ends or seen.stopping >= seen.present:
-        return Decision(replace(intent, phase=ReplicaPhase.STOPPING, began_at=now, members=NONE))
-    return Decision(intent, wanted=seen.absent, launch=_whole(seen), due=ends)
-
-
-def _running(intent: Intent, seen: ObservedMembers, bounds: PhaseTimeouts, now: float) -> Decision:
-    if not seen.present:
+    Idempotent: the decision's own intent gives the same decision again.
+    """
+    situation = _Situation(observed, timeouts, now)
+    for _ in range(len(ReplicaPhase) + 1):
+        decision = _DECIDE_IN_PHASE[intent.phase](intent, situation)
+        if decision.intent.phase == intent.phase:
+            return decision
+        intent = decision.intent
+    raise AssertionError("replica phases do not converge")
+
+
+def _enter(intent: Intent, phase: ReplicaPhase, began_at: float) -> Decision:
+    """The transition to a phase that is about no particular members."""
+    return Decision(replace(intent, phase=phase, began_at=began_at, members=NO_MEMBERS))
+
+
+def _start_anew(intent: Intent, now: float) -> Decision:
+    """The transition to FORMING, as a new generation."""
+    return Decision(
+        replace(intent, phase=ReplicaPhase.FORMING, generation=intent.generation + 1, began_at=now)
+    )
+
+
+def _decide_waiting(intent: Intent, situation: _Situation) -> Decision:
+    observed, timeouts, now = situation
+    if observed.present:
+        return _start_anew(intent, now)
+    retry_at = intent.began_at + timeouts.pause_s if intent.began_at else now
+    if now < retry_at:
+        return Decision(intent, due=retry_at)
+    return Decision(intent, to_place=observed.absent)
+
+
+def _decide_forming(intent: Intent, situation: _Situation) -> Decision:
+    observed, timeouts, now = situation
+    if observed.all_running:
+        return _enter(intent, ReplicaPhase.UP, now)
+    if not observed.present:
+        # Refused by the state service, or all members lost at once.
+        return _enter(intent, ReplicaPhase.WAITING, now)
+    deadline = situation.deadline(intent, timeouts.form_s)
+    if now >= deadline or observed.all_stopping:
+        return _enter(intent, ReplicaPhase.STOPPING, now)
+    return Decision(intent, to_place=observed.absent, launch=observed.all_placed, due=deadline)
+
+
+def _decide_up(intent: Intent, situation: _Situation) -> Decision:
+    observed = situation.observed
+    if not observed.present:
         return Decision(replace(intent, phase=ReplicaPhase.WAITING, began_at=0.0))
-    starting = (seen.placed | seen.planned) - seen.unseen
-    lacking = seen.absent | seen.stopping | seen.unresponsive | starting
-    if lacking:
-        return Decision(replace(intent, phase=ReplicaPhase.DEGRADED, began_at=now, members=lacking))
-    return Decision(intent, seek=seen.draining if seen.may_move else NONE, launch=True)
-
-
-def _degraded(intent: Intent, seen: ObservedMembers, bounds: PhaseTimeouts, now: float) -> Decision:
-    if _up(seen):
-        return Decision(replace(intent, phase=ReplicaPhase.UP, began_at=now, members=NONE))
-    if not seen.present:
-        return Decision(replace(intent, phase=ReplicaPhase.WAITING, began_at=0.0, members=NONE))
-    if not seen.absent and seen.planned:
+    starting = (observed.placed | observed.planned) - observed.unseen
+    missing = observed.absent | observed.stopping | observed.unresponsive | starting
+    if missing:
         return Decision(
-            replace(intent, phase=ReplicaPhase.REPAIRING, members=seen.planned | seen.placed)
+            replace(intent, phase=ReplicaPhase.DEGRADED, began_at=situation.now, members=missing)
         )
-    ends = _began(intent, seen) + bounds.degraded_s
-    if seen.stopping >= seen.present:
-        return Decision(replace(intent, phase=ReplicaPhase.STOPPING, began_at=now, members=NONE))
-    # Of one that hangs nothing is certain: it must not be started elsewhere, so that there is
-    # nothing to gain by stopping the others.
-    if now >= ends and (seen.absent or seen.placed - seen.unresponsive):
-        return Decision(replace(intent, phase=ReplicaPhase.STOPPING, began_at=now, members=NONE))
-    lacking = seen.absent | seen.stopping | seen.unresponsive
-    if lacking and lacking != intent.members:
-        intent = replace(intent, members=lacking)
-    # Others that are on their way out are waited for: one plan for all that lacks.
-    want = seen.absent if not seen.stopping else NONE
-    return Decision(intent, wanted=want, launch=True, due=ends if now < ends else None)
-
-
-def _repairing(
-    intent: Intent, seen: ObservedMembers, bounds: PhaseTimeouts, now: float
-) -> Decision:
-    if _up(seen):
-        return Decision(replace(intent, phase=ReplicaPhase.UP, began_at=now, members=NONE))
-    if seen.absent or not seen.present:
+    to_reserve = observed.draining if observed.may_move else NO_MEMBERS
+    return Decision(intent, to_reserve=to_reserve, launch=True)
+
+
+def _decide_degraded(intent: Intent, situation: _Situation) -> Decision:
+    observed, timeouts, now = situation
+    if observed.all_running:
+        return _enter(intent, ReplicaPhase.UP, now)
+    if not observed.present:
+        return _enter(intent, ReplicaPhase.WAITING, 0.0)
+    if not observed.absent and observed.planned:
+        starting = observed.planned | observed.placed
+        return Decision(replace(intent, phase=ReplicaPhase.REPAIRING, members=starting))
+    deadline = situation.deadline(intent, timeouts.degraded_s)
+    if observed.all_stopping:
+        return _enter(intent, ReplicaPhase.STOPPING, now)
+    # Nothing is certain of an unresponsive member: it must not be started elsewhere, so that
+    # stopping the others would gain nothing.
+    if now >= deadline and (observed.absent or observed.placed - observed.unresponsive):
+        return _enter(intent, ReplicaPhase.STOPPING, now)
+    missing = observed.absent | observed.stopping | observed.unresponsive
+    if missing and missing != intent.members:
+        intent = replace(intent, members=missing)
+    # Wait for members that are still stopping: one plan then places all that are missing.
+    to_place = observed.absent if not observed.stopping else NO_MEMBERS
+    return Decision(
+        intent, to_place=to_place, launch=True, due=deadline if now < deadline else None
+    )
+
+
+def _decide_repairing(intent: Intent, situation: _Situation) -> Decision:
+    observed, timeouts, now = situation
+    if observed.all_running:
+        return _enter(intent, ReplicaPhase.UP, now)
+    if observed.absent or not observed.present:
         return Decision(replace(intent, phase=ReplicaPhase.DEGRADED))
-    ends = _began(intent, seen) + bounds.degraded_s + bounds.form_s
-    if now >= ends or seen.stopping >= seen.present:
-        return Decision(replace(intent, phase=ReplicaPhase.STOPPING, began_at=now, members=NONE))
-    return Decision(intent, launch=not seen.planned, due=ends)
-
-
-def _moving(intent: Intent, seen: ObservedMembers, bounds: PhaseTimeouts, now: float) -> Decision:
-    moved = intent.members & seen.all_members
-    left = replace(intent, members=NONE, targets=())
-    gone = seen.absent & moved
-    if seen.planned:
-        # The reserved room has just been taken, with all that moves.
-        if moved == seen.all_members:
-            return Decision(
-                replace(
-                    left, phase=ReplicaPhase.FORMING, generation=intent.generation + 1, began_at=now
-                )
-            )
-        return Decision(replace(left, phase=ReplicaPhase.REPAIRING, members=moved))
-    if moved and gone == moved and seen.reservation_usable and not seen.absent - moved:
+    deadline = situation.deadline(intent, timeouts.degraded_s) + timeouts.form_s
+    if now >= deadline or observed.all_stopping:
+        return _enter(intent, ReplicaPhase.STOPPING, now)
+    return Decision(intent, launch=not observed.planned, due=deadline)
+
+
+def _decide_moving(intent: Intent, situation: _Situation) -> Decision:
+    observed, timeouts, now = situation
+    moved = intent.members & observed.all_members
+    stopped = observed.absent & moved
+    others_absent = observed.absent - moved
+    if observed.planned:
+        return _moved(intent, moved, situation)
+    if moved and stopped == moved and observed.reservation_usable and not others_absent:
         return Decision(intent, move_into_reservation=True)
-    ends = _began(intent, seen) + bounds.form_s
-    if not seen.reservation_usable or seen.absent - moved or now >= ends or not moved:
-        if not gone and not seen.stopping:
-            # Nothing was stopped yet: it stays where it is, whole.
-            return Decision(replace(left, phase=ReplicaPhase.UP, began_at=now))
-        return Decision(
-            replace(left, phase=ReplicaPhase.DEGRADED, members=seen.absent | seen.stopping)
-        )
-    if not seen.durable:
-        # A new owner would find members stopped and know of no room for them.
-        return Decision(intent, due=ends)
-    return Decision(intent, stop=(moved - seen.absent) - seen.stopping, due=ends)
-
-
-def _stopping(intent: Intent, seen: ObservedMembers, bounds: PhaseTimeouts, now: float) -> Decision:
-    if not seen.present:
-        return Decision(replace(intent, phase=ReplicaPhase.WAITING, began_at=now, members=NONE))
-    return Decision(intent, stop=seen.present - seen.stopping)
-
-
-_AT = {
-    ReplicaPhase.WAITING: _waiting,
-    ReplicaPhase.FORMING: _forming,
-    ReplicaPhase.UP: _running,
-    ReplicaPhase.DEGRADED: _degraded,
-    ReplicaPhase.REPAIRING: _repairing,
-    ReplicaPhase.MOVING: _moving,
-    ReplicaPhase.STOPPING: _stopping,
+    deadline = situation.deadline(intent, timeouts.form_s)
+    if not observed.reservation_usable or others_absent or now >= deadline or not moved:
+        return _abandon_move(intent, is_begun=bool(stopped), situation=situation)
+    if not observed.durable:
+        # A new owner would find members stopped and know of no reservation for them.
+        return Decision(intent, due=deadline)
+    return Decision(intent, stop=(moved - observed.absent) - observed.stopping, due=deadline)
+
+
+def _moved(intent: Intent, moved: frozenset[int], situation: _Situation) -> Decision:
+    """The moved members have just been placed on the reserved machines."""
+    intent = replace(intent, members=NO_MEMBERS, targets=())
+    if moved == situation.observed.all_members:
+        return _start_anew(intent, situation.now)
+    return Decision(replace(intent, phase=ReplicaPhase.REPAIRING, members=moved))
+
+
+def _abandon_move(intent: Intent, is_begun: bool, situation: _Situation) -> Decision:
+    """The move cannot be completed; `is_begun`: a member has left its machine for it."""
+    observed = situation.observed
+    intent = replace(intent, members=NO_MEMBERS, targets=())
+    if not is_begun and not observed.stopping:
+        # Nothing was stopped yet: the whole replica stays where it is.
+        return Decision(replace(intent, phase=ReplicaPhase.UP, began_at=situation.now))
+    missing = observed.absent | observed.stopping
+    return Decision(replace(intent, phase=ReplicaPhase.DEGRADED, members=missing))
+
+
+def _decide_stopping(intent: Intent, situation: _Situation) -> Decision:
+    observed = situation.observed
+    if not observed.present:
+        return _enter(intent, ReplicaPhase.WAITING, situation.now)
+    return Decision(intent, stop=observed.present - observed.stopping)
+
+
+_DECIDE_IN_PHASE: dict[ReplicaPhase, Callable[[Intent, _Situation], Decision]] = {
+    ReplicaPhase.WAITING: _decide_waiting,
+    ReplicaPhase.FORMING: _decide_forming,
+    ReplicaPhase.UP: _decide_up,
+    ReplicaPhase.DEGRADED: _decide_degraded,
+    ReplicaPhase.REPAIRING: _decide_repairing,
+    ReplicaPhase.MOVING: _decide_moving,
+    ReplicaPhase.STOPPING: _decide_stopping,
 }
-
-
-def downtime_s(fetches_s: list[float], start_s: float, stop_s: float = 0.0) -> float:
-    """How long a replica is not up if members with these fetches start together, after a stop."""
-    return stop_s + max(fetches_s, default=0.0) + start_s
--- a/badgerseam/replicas/reconciler.py
+++ b/badgerseam/replicas/reconciler.py
@@ -18,7 +18,7 @@
 from badgerseam.options.replicas import ReplicasOptions
 from badgerseam.replicas.observed_state import MemberObserver
 from badgerseam.replicas.phases import (
-    NAMES,
+    REPLICA_PHASE_NAMES,
     Decision,
     Intent,
     ObservedMembers,
@@ -213,8 +213,8 @@
     ) -> None:
         """Make a decision's intent the replica's, with its note and the room kept for it."""
         before, intent, number = replica.intent, found.intent, replica.number
-        replica.want, replica.seek = found.wanted, found.seek
-        if found.wanted or found.seek:
+        replica.want, replica.seek = found.to_place, found.to_reserve
+        if found.to_place or found.to_reserve:
             entry.wanting.add(number)
             self._model.shards_to_plan.add(entry.job.shard)
         else:
@@ -243,8 +243,8 @@
             "%s replica %d: %s after %s for %.1f s, incarnation %d%s%s",
             entry.job.id,
             replica.number,
-            NAMES[intent.phase],
-            NAMES[before.phase],
+            REPLICA_PHASE_NAMES[intent.phase],
+            REPLICA_PHASE_NAMES[before.phase],
             self._clock.now() - before.began_at if before.began_at else 0.0,
             intent.generation,
             f", members {members}" if members else "",
--- a/badgerseam/replicas/records.py
+++ b/badgerseam/replicas/records.py
@@ -6,7 +6,7 @@
 
 from badgerseam.clock import Clock
 from badgerseam.model.job import Job
-from badgerseam.replicas.phases import NONE, Intent, ReplicaPhase
+from badgerseam.replicas.phases import NO_MEMBERS, Intent, ReplicaPhase
 from badgerseam.replicas.shapes import ReplicaShape
 from badgerseam.wire.state import StoredReplica
 
@@ -22,8 +22,8 @@
     intent: Intent = field(default_factory=Intent)
     step: int = 0
     """Of the latest note."""
-    want: frozenset[int] = NONE
-    seek: frozenset[int] = NONE
+    want: frozenset[int] = NO_MEMBERS
+    seek: frozenset[int] = NO_MEMBERS
     due: float | None = None
 
 
