--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -387,7 +387,9 @@
                 self.heartbeat_proxy.review()
                 self.worker_manager.expire_leases()
                 self.worker_manager.probe_unresponsive()
-                drain(model, None if self.replicas is None else self.replicas.keeps_on_draining)
+                drain(
+                    model, None if self.replicas is None else self.replicas.may_stay_while_draining
+                )
                 # What changes is pushed when it does; this is for what has to be tried again.
                 for own in model.shards:
                     if own.owned:
--- a/badgerseam/replicas/__init__.py
+++ b/badgerseam/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""Replicas that span machines: formed, repaired, moved and stopped as one."""
+"""Replicas that span machines: their members are placed, repaired, moved and stopped together."""
--- a/badgerseam/replicas/observed_state.py
+++ b/badgerseam/replicas/observed_state.py
@@ -1,4 +1,4 @@
-"""What an owner sees of a replica's members."""
+"""Observes the members of replicas: where they are, and whether their machines answer."""
 
 from __future__ import annotations
 
@@ -8,20 +8,26 @@
 from badgerseam.replicas.reservations import Reservations
 
 UNRESPONSIVE_INTERVALS = 3
-"""Report intervals without a report after which a machine counts as hanging."""
+"""Heartbeat intervals without a heartbeat after which a machine counts as unresponsive."""
+HEARTBEAT_SLACK_S = 0.5
+"""Added to these intervals for a heartbeat that is on its way."""
 
 
 class MemberObserver:
-    """Looks; changes nothing but what is remembered of where members were."""
+    """Reads the model; changes only the record of the machine that each member was last on.
 
-    def __init__(self, model: Model, rooms: Reservations) -> None:
+    Callers hold the model's lock.
+    """
+
+    def __init__(self, model: Model, reservations: Reservations) -> None:
         self._model = model
-        self._rooms = rooms
-        self._silence_s = UNRESPONSIVE_INTERVALS * model.settings.params.workers.report_s + 0.5
+        self._reservations = reservations
+        interval_s = model.settings.params.workers.report_s
+        self._timeout_s = UNRESPONSIVE_INTERVALS * interval_s + HEARTBEAT_SLACK_S
 
     def unresponsive_at(self, machine: AttemptHost) -> float:
-        """When a machine counts as hanging if nothing is heard of it until then."""
-        return max(machine.last_heartbeat_at, machine.owned_since) + self._silence_s
+        """When a machine counts as unresponsive if it sends no heartbeat until then."""
+        return max(machine.last_heartbeat_at, machine.owned_since) + self._timeout_s
 
     def is_unresponsive(self, machine: AttemptHost) -> bool:
         """Whether nothing is certain of what is on a machine."""
@@ -29,7 +35,7 @@
         return machine.lost or machine.given_up or now >= self.unresponsive_at(machine)
 
     def is_evacuated(self, job: Job, tasks: range) -> bool:
-        """Whether a member's machine is emptied for work of another share."""
+        """Whether the machine of one of these members is evacuated for work of another shard."""
         return any(
             attempt.machine.evacuate_to is not None
             for task in tasks
@@ -37,11 +43,11 @@
         )
 
     def observe(
-        self, job: Job, tasks: range, durable: bool, room: bool, moves: bool
+        self, job: Job, tasks: range, durable: bool, reservation_usable: bool, may_move: bool
     ) -> ObservedMembers:
-        """The members as they are now; the last three as `Seen` has them."""
-        absent, planned, placed, runs, unseen = set(), set(), set(), set(), set()
-        stopping, hung, leaving = set(), set(), set()
+        """The members as they are now; the last three are those of `ObservedMembers`."""
+        absent, planned, placed, running, unseen = set(), set(), set(), set(), set()
+        stopping, unresponsive, draining = set(), set(), set()
         for task in tasks:
             if job.status[task] == FINISHED:
                 continue
@@ -50,11 +56,11 @@
                 absent.add(task)
                 continue
             machine = attempt.machine
-            self._rooms.note_member(job, task, machine)
+            self._reservations.note_member(job, task, machine)
             if attempt.stage == Stage.PLANNED:
                 planned.add(task)
             elif attempt.stage >= Stage.RUNNING:
-                runs.add(task)
+                running.add(task)
             else:
                 placed.add(task)
                 if attempt.unseen and attempt.stage == Stage.PLACED:
@@ -62,20 +68,20 @@
             if attempt.stopping or attempt.stage == Stage.CHECKPOINTING:
                 stopping.add(task)
             if self.is_unresponsive(machine):
-                hung.add(task)
+                unresponsive.add(task)
             elif machine.draining:
-                leaving.add(task)
+                draining.add(task)
         return ObservedMembers(
-            frozenset(absent),
-            frozenset(planned),
-            frozenset(placed),
-            frozenset(runs),
-            frozenset(unseen),
-            frozenset(stopping),
-            frozenset(hung),
-            frozenset(leaving),
-            durable,
-            room,
-            self._model.shards[job.shard].owned_since,
-            moves,
+            absent=frozenset(absent),
+            planned=frozenset(planned),
+            placed=frozenset(placed),
+            running=frozenset(running),
+            unseen=frozenset(unseen),
+            stopping=frozenset(stopping),
+            unresponsive=frozenset(unresponsive),
+            draining=frozenset(draining),
+            durable=durable,
+            reservation_usable=reservation_usable,
+            since=self._model.shards[job.shard].owned_since,
+            may_move=may_move,
         )
--- a/badgerseam/replicas/reservations.py
+++ b/badgerseam/replicas/reservations.py
@@ -1,73 +1,94 @@
-"""Room that is kept on machines for members that are to come: what a move has reserved, and what
-members left on machines that go on."""
+"""Capacity of machines that is reserved for members of replicas which are still to be placed.
+
+A move reserves the machines that it moves to; a degraded replica reserves what its missing members
+used, on machines that stay.
+"""
 
 from __future__ import annotations
 
 from collections import Counter
+from typing import NamedTuple
 
 from badgerseam.model.job import AttemptHost, Job
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 from badgerseam.model.resources import NOTHING, Resources
 
-ReplicaKey = tuple[int, int]
-"""A job's index and a replica's number."""
+
+class ReplicaKey(NamedTuple):
+    """A replica among those of all jobs."""
+
+    job_index: int
+    number: int
 
 
 class Reservations:
-    """A plan sees the kept room as taken (`Planner.node`), and gives it back to the replica alone
-    that it is kept for (`sched/gang_placement.py`)."""
+    """The reservations of all replicas of owned shards.
+
+    A plan counts reserved capacity as used (`Planner.node`), and gives it only to the replica that
+    it is reserved for (`sched/gang_placement.py`). Callers hold the model's lock.
+    """
 
     def __init__(self, model: Model) -> None:
         self._model = model
-        self._held: dict[int, Counter[ReplicaKey]] = {}
-        """Tasks for which room is kept, by machine and replica."""
-        self._kept: dict[ReplicaKey, list[int]] = {}
-        self._left: dict[tuple[int, int], int] = {}
+        self._tasks_by_machine: dict[int, Counter[ReplicaKey]] = {}
+        """Tasks for which capacity is reserved, by machine and replica."""
+        self._machines_by_replica: dict[ReplicaKey, list[int]] = {}
+        self._last_machines: dict[tuple[int, int], int] = {}
+        """By a job's index and a task."""
 
     def reserved_on(self, machine: AttemptHost) -> Resources:
-        """What is kept on a machine."""
+        """What is reserved on a machine."""
         total = NOTHING
-        for (index, _), count in self._held.get(machine.index, {}).items():
-            job = self._model.jobs[index]
+        for key, count in self._tasks_by_machine.get(machine.index, {}).items():
+            job = self._model.jobs[key.job_index]
             if job is not None:
                 total = total.plus(job.demand.times(count))
         return total
 
     def machines_for(self, key: ReplicaKey) -> list[int]:
-        """The machines with room for a replica, once for each task."""
-        return self._kept.get(key, [])
+        """The machines reserved for a replica, once for each task."""
+        return self._machines_by_replica.get(key, [])
 
     def reserve(self, key: ReplicaKey, machines: list[int]) -> None:
-        """Keep room for a task on each of these machines, and none that was kept before."""
-        before = self._kept.pop(key, [])
+        """Reserve capacity for one task on each of these machines, in place of what the replica
+        had reserved before."""
+        before = self._machines_by_replica.pop(key, [])
         if machines:
-            self._kept[key] = machines
+            self._machines_by_replica[key] = machines
         if before == machines:
             return
         for index in before:
-            held = self._held[index]
-            held[key] -= 1
-            if held[key] <= 0:
-                del held[key]
-            if not held:
-                del self._held[index]
+            self._remove_task(index, key)
         for index in machines:
-            self._held.setdefault(index, Counter())[key] += 1
+            self._tasks_by_machine.setdefault(index, Counter())[key] += 1
         for index in {*before, *machines}:
             machine = self._model.machines.get(index)
             if machine is not None:
                 machine.sched_view = None
 
+    def release(self, key: ReplicaKey) -> None:
+        """Release all that a replica has reserved."""
+        self.reserve(key, [])
+
+    def _remove_task(self, index: int, key: ReplicaKey) -> None:
+        tasks = self._tasks_by_machine[index]
+        tasks[key] -= 1
+        if tasks[key] <= 0:
+            del tasks[key]
+        if not tasks:
+            del self._tasks_by_machine[index]
+
     def note_member(self, job: Job, task: int, machine: AttemptHost) -> None:
-        """A member is on a machine."""
-        self._left[job.index, task] = machine.index
+        """Record the machine that a member is on."""
+        self._last_machines[job.index, task] = machine.index
 
     def last_machine(self, job: Job, task: int) -> Machine | None:
-        """The machine that a member was last seen on, if it is still there."""
-        return self._model.machines.get(self._left.get((job.index, task), -1))
+        """The machine that a member was last on, if it still exists."""
+        return self._model.machines.get(self._last_machines.get((job.index, task), -1))
 
     def drop_job(self, index: int, tasks: int) -> None:
-        """A job that is not acted for any more; `tasks`: how many it has."""
+        """Forget the members of a job that this controller no longer acts for; `tasks`: how many
+        it has."""
         for task in range(tasks):
-            self._left.pop((index, task), None)
+            self._last_machines.pop((index, task), None)
--- a/badgerseam/replicas/shapes.py
+++ b/badgerseam/replicas/shapes.py
@@ -1,4 +1,4 @@
-"""Which tasks of a job make a replica, and whether any set of machines can hold one."""
+"""Which tasks of a job form a replica, and whether any set of machines can hold one."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 
 def shape_of(options: ReplicasOptions, spec: Submission) -> ReplicaShape | None:
-    """A job's replicas; None if each of its tasks stands alone, as those of an array do."""
+    """A job's replicas; None if its tasks are independent of one another, as those of an array."""
     rules = options.classes.get(spec.job_class)
     if rules is None or spec.kind == "sweep":
         return None
     if rules.tasks is None or spec.kind == "group":
         return ReplicaShape(spec.tasks, 1, spec.tasks, rules)
-    # Accepted before the options said so: the last one takes what is left.
+    # Accepted before the options defined this size: the last replica has the remaining tasks.
     size = min(rules.tasks, spec.tasks)
     return ReplicaShape(size, max(1, spec.tasks // size), spec.tasks, rules)
 
@@ -49,46 +49,48 @@
 def infeasible_reason(
     options: ReplicasOptions, types: Mapping[str, MachineType], spec: Submission
 ) -> str | None:
-    """Why no set of machines can ever hold the job's replicas, with field and remedy; or None."""
+    """Why no set of machines can ever hold the job's replicas, with field and remedy; None if one
+    can."""
     shape = shape_of(options, spec)
     if shape is None:
         return None
     rules, size = shape.rules, shape.size
     if spec.kind != "group" and rules.tasks is not None and spec.tasks % rules.tasks:
-        above = spec.tasks + rules.tasks - spec.tasks % rules.tasks
+        next_multiple = spec.tasks + rules.tasks - spec.tasks % rules.tasks
         return (
             f"pieces: {spec.tasks} is no multiple of {rules.tasks}, which make one replica of "
-            f"{spec.job_class}; give {above}"
+            f"{spec.job_class}; give {next_multiple}"
         )
     if size < rules.machines_least:
         return (
             f"pieces: a replica of {spec.job_class} spans at least {rules.machines_least} machines "
             f"and has {size} tasks; give that many"
         )
-    zoned = rules.same_zone or spec.one_zone or spec.zone is not None
-    if spec.spread and zoned and size > (spec.tasks + 1) // 2:
+    is_in_one_zone = rules.same_zone or spec.one_zone or spec.zone is not None
+    if spec.spread and is_in_one_zone and size > (spec.tasks + 1) // 2:
         return (
             f"scatter: a replica of {spec.job_class} has {size} of {spec.tasks} tasks and stays in "
             "one zone, which may hold half of them; leave scatter out, or give more pieces"
         )
     if rules.machines_most is None:
         return None
-    each = _most_on_one(types, spec)
-    if each * rules.machines_most < size:
-        least = math.ceil(size / rules.machines_most)
+    tasks_per_machine = _max_tasks_per_machine(types, spec)
+    if tasks_per_machine * rules.machines_most < size:
+        tasks_needed = math.ceil(size / rules.machines_most)
         return (
-            f"cpus, accelerators, memGb: a machine that the job may use holds {each} of its tasks, "
-            f"and {size} have to go on {rules.machines_most} machines at most; ask for less for "
-            f"each task (so that {least} fit), or allow larger breeds"
+            f"cpus, accelerators, memGb: a machine that the job may use holds {tasks_per_machine} "
+            f"of its tasks, and {size} have to go on {rules.machines_most} machines at most; ask "
+            f"for less for each task (so that {tasks_needed} fit), or allow larger breeds"
         )
     return None
 
 
-def _most_on_one(types: Mapping[str, MachineType], spec: Submission) -> int:
-    need = Resources(spec.cpus, spec.gpus, spec.memory_gb)
+def _max_tasks_per_machine(types: Mapping[str, MachineType], spec: Submission) -> int:
+    """How many of a job's tasks an empty machine of a permitted type can hold."""
+    demand = Resources(spec.cpus, spec.gpus, spec.memory_gb)
     return max(
         (
-            need.count_in(Resources(entry.cpus, entry.gpus, entry.memory_gb))
+            demand.count_in(Resources(entry.cpus, entry.gpus, entry.memory_gb))
             for name, entry in types.items()
             if (spec.types is None or name in spec.types)
             and (spec.zone is None or spec.zone in entry.zones)
