--- a/badgerseam/api/classes.py
+++ b/badgerseam/api/classes.py
@@ -65,6 +65,6 @@
                 keeper.objections(),
                 rules.waiting(),
                 rules.inversions,
-                rules.reserved_machines,
+                rules.plans_with_reservations,
             )
         return Reply(200, wire.encode(view))
--- a/badgerseam/classes/__init__.py
+++ b/badgerseam/classes/__init__.py
@@ -1,1 +1,1 @@
-"""Priority classes: which work goes ahead within a rank, the same on every controller."""
+"""Priority classes: the order of work within a rank, the same on every controller."""
--- a/badgerseam/classes/capacity_reservation.py
+++ b/badgerseam/classes/capacity_reservation.py
@@ -1,5 +1,8 @@
-"""Room that lower classes may not take in a plan, though nothing of a higher one is placed there:
-pure functions over a snapshot."""
+"""Reserves capacity of a plan for higher classes: lower classes avoid machines that are needed for
+work which this plan does not place.
+
+Pure functions over a snapshot.
+"""
 
 from __future__ import annotations
 
@@ -12,49 +15,51 @@
 
 @dataclass(slots=True)
 class ReservedCapacity:
-    """Tasks of a class that room is kept for."""
+    """Tasks of a class for which capacity is reserved."""
 
     priority_class: int
     rank: int
     demand: Resources
+    """Of one task."""
     spot: bool
-    """They may use spot machines."""
+    """They may run on spot machines."""
     count: int
     request: pts.Request | None = None
-    """The rules of their job, if they are of one that waits."""
-    every: bool = False
-    """All room that would do is kept, not only enough."""
-    whole: bool = False
-    """Only empty machines will do: they have to be passed on to another share."""
+    """The predicates of their job, if they are of one that waits."""
+    all_feasible: bool = False
+    """Reserve every machine that fits a task, not only enough of them."""
+    empty_only: bool = False
+    """Only empty machines are of use: they have to be transferred to another shard."""
 
 
-def reserve(snapshot: pts.Snapshot, kept: list[ReservedCapacity]) -> set[int]:
-    """Have the snapshot's requests of lower classes shun the machines that are kept; these.
+def reserve(snapshot: pts.Snapshot, reservations: list[ReservedCapacity]) -> set[int]:
+    """Make the snapshot's requests of lower classes avoid the reserved machines.
 
-    A team that claims what it is guaranteed is not held back, and neither is work of a higher rank.
+    Returns the machines that a request avoids now. A team that claims its guarantee is not held
+    back, and neither is work of a higher rank.
     """
-    held: list[tuple[ReservedCapacity, set[int]]] = []
-    lowest = max((request.priority_class for request in snapshot.requests), default=0)
-    for entry in kept:
-        if entry.priority_class < lowest:
-            found = _machines(snapshot.nodes, entry)
-            if found:
-                held.append((entry, found))
-    if not held:
+    lowest_class = max((request.priority_class for request in snapshot.requests), default=0)
+    reserved: list[tuple[ReservedCapacity, set[int]]] = []
+    for entry in reservations:
+        if entry.priority_class < lowest_class:
+            machines = _machines(snapshot.nodes, entry)
+            if machines:
+                reserved.append((entry, machines))
+    if not reserved:
         return set()
     requests = []
-    taken: set[int] = set()
+    avoided_by_any: set[int] = set()
     for request in snapshot.requests:
-        barred: set[int] = set()
-        for entry, machines in held:
-            if _behind(request, entry):
-                barred |= machines
-        if barred and not claims(snapshot, request):
-            taken |= barred
-            request = replace(request, avoided_machines=request.avoided_machines | barred)
+        avoided: set[int] = set()
+        for entry, machines in reserved:
+            if _yields_to(request, entry):
+                avoided |= machines
+        if avoided and not claims(snapshot, request):
+            avoided_by_any |= avoided
+            request = replace(request, avoided_machines=request.avoided_machines | avoided)
         requests.append(request)
     snapshot.requests = requests
-    return taken
+    return avoided_by_any
 
 
 def claims(snapshot: pts.Snapshot, request: pts.Request) -> bool:
@@ -63,34 +68,36 @@
     return team.used.plus(request.demand).fits_in(team.guarantee)
 
 
-def _behind(request: pts.Request, entry: ReservedCapacity) -> bool:
+def _yields_to(request: pts.Request, entry: ReservedCapacity) -> bool:
     if request.priority_class <= entry.priority_class or request.rank > entry.rank:
         return False
-    # High-priority work evicts what is of a lower rank: nothing need be kept from that.
+    # High-priority work preempts lower ranks: nothing need be reserved from those.
     return request.rank == entry.rank or entry.rank < HIGH_RANK
 
 
 def _machines(nodes: list[pts.MachineSnapshot], entry: ReservedCapacity) -> set[int]:
-    """Machines whose free room is enough for the tasks, the smallest rooms that do first."""
-    fitting = [
-        node
-        for node in nodes
-        if entry.demand.fits_in(node.free)
-        and (not entry.whole or node.free == node.total)
-        and (
-            (entry.spot or not node.spot)
-            if entry.request is None
-            else node.index not in entry.request.avoided_machines
-            and pts.job_rules_allow(entry.request, node)
-        )
-    ]
-    if entry.every:
-        return {node.index for node in fitting}
-    found: set[int] = set()
-    left = entry.count
-    for node in sorted(fitting, key=lambda node: (node.idle_slots, node.index)):
-        if left <= 0:
+    """The machines to reserve: enough for the tasks, those with the least free capacity first."""
+    feasible = [node for node in nodes if _is_feasible(node, entry)]
+    if entry.all_feasible:
+        return {node.index for node in feasible}
+    machines: set[int] = set()
+    remaining = entry.count
+    for node in sorted(feasible, key=lambda node: (node.idle_slots, node.index)):
+        if remaining <= 0:
             break
-        found.add(node.index)
-        left -= entry.demand.count_in(node.free)
-    return found
+        machines.add(node.index)
+        remaining -= entry.demand.count_in(node.free)
+    return machines
+
+
+def _is_feasible(node: pts.MachineSnapshot, entry: ReservedCapacity) -> bool:
+    """Whether a machine can hold one of the tasks now."""
+    if not entry.demand.fits_in(node.free):
+        return False
+    if entry.empty_only and node.free != node.total:
+        return False
+    if entry.request is None:
+        return entry.spot or not node.spot
+    return node.index not in entry.request.avoided_machines and pts.job_rules_allow(
+        entry.request, node
+    )
--- a/badgerseam/classes/class_record.py
+++ b/badgerseam/classes/class_record.py
@@ -1,14 +1,15 @@
-"""The record of the site's classes: who may change it, and on which conditions.
+"""Reconciles the record of the site's classes with the options of the controllers.
 
 The leader writes what the options say, once all configured controllers announce the same ones with
 their own records. These lie on leases: at the revision of the write each controller was alive with
-just these options. One that ends, or comes back with others, changes its stamp, and the write
-fails; so does that of a leader whose claim has gone, however late it is applied.
+just these options. One that ends, or comes back with others, changes the version of its record, and
+the write fails; so does that of a leader whose claim has gone, however late it is applied.
 """
 
 from __future__ import annotations
 
 import logging
+import math
 
 from badgerseam.background import BackgroundTasks
 from badgerseam.classes.table import digest_of, to_record
@@ -25,49 +26,58 @@
 log = logging.getLogger("badgerseam.classes")
 
 DEADLINE_S = 2.0
-PAUSE_S = 1.0
-"""After a write that was refused or not answered."""
+RETRY_S = 1.0
+"""After a write that failed or whose outcome is unknown."""
 
 
 def objections(
-    digest: str, order: list[str], nodes: dict[str, ObservedController], missing: bool = True
+    digest: str,
+    order: list[str],
+    controllers: dict[str, ObservedController],
+    include_absent: bool = True,
 ) -> list[Objection]:
-    """Which controllers do not have the classes of that digest in their options, and what they
-    have; `missing`: those that are not there count."""
+    """The configured controllers whose options do not have the classes of a digest, with reasons.
+
+    `order`: the names of all configured controllers; `include_absent`: those that are down or cut
+    off count as well.
+    """
     found = []
     for name in order:
-        present = nodes.get(name)
-        if present is None:
-            if missing:
+        controller = controllers.get(name)
+        if controller is None:
+            if include_absent:
                 found.append(Objection(name, "is down, or cut off from the state service"))
-        elif not present.record.classes_digest:
+            continue
+        announced = controller.record.classes_digest
+        if not announced:
             found.append(Objection(name, "keeps no classes (no section classes in its options)"))
-        elif present.record.classes_digest != digest:
-            reason = (
-                f"has other classes in its options ({present.record.classes_digest}, not {digest})"
-            )
+        elif announced != digest:
+            reason = f"has other classes in its options ({announced}, not {digest})"
             found.append(Objection(name, reason))
     return found
 
 
 def conditions(
     order: list[str],
-    nodes: dict[str, ObservedController],
+    controllers: dict[str, ObservedController],
     record: tuple[wire.StoredClasses, int] | None,
     leader: ObservedClaim | None = None,
 ) -> dict[str, int]:
-    """The stamps on which a change of the record holds: its own, those of all controllers that
-    were looked at, and the leader's claim where it is the leader that writes."""
-    found = {CLASSES_KEY: 0 if record is None else record[1]}
+    """The versions on which a change of the record is conditional: its own, those of the records
+    of all configured controllers, and the leader's claim if the leader writes."""
+    versions = {CLASSES_KEY: 0 if record is None else record[1]}
     if leader is not None:
-        found[LEADER_KEY] = leader.version
-    # One that was not there must not come with other options meanwhile: no record is stamp 0.
-    found.update({node_key(n): nodes[n].version if n in nodes else 0 for n in order})
-    return found
+        versions[LEADER_KEY] = leader.version
+    # An absent controller must not come back with other options meanwhile: no record is version 0.
+    for name in order:
+        controller = controllers.get(name)
+        versions[node_key(name)] = 0 if controller is None else controller.version
+    return versions
 
 
 class ClassRecordKeeper:
-    """Keeps the record in line with the options, while this controller leads."""
+    """Reconciles the site's record of classes with the options, while this controller leads; also
+    sets what operators want."""
 
     def __init__(
         self, model: Model, member: Membership, committer: GroupCommitter, options: ClassesOptions
@@ -79,95 +89,117 @@
         self._options = options
         self.digest = member.classes_digest = digest_of(options)
         self._writing = False
-        self._not_before = -1e9
-        self._told: tuple[Objection, ...] = ()
+        self._retry_at = -math.inf
+        self._logged_objections: tuple[Objection, ...] = ()
         self._tasks = BackgroundTasks()
 
     def is_update_due(self) -> bool:
-        """Whether the options differ from those that the record was last made from. One that
-        operators have set stands until the options change."""
+        """Whether the options differ from those that the record was last made from.
+
+        A record that operators have set stands until the options change.
+        """
         record = self._model.classes
         return record is None or record[0].options != self.digest
 
     def objections(self) -> list[Objection]:
-        """Who disagrees with this controller's options."""
+        """The controllers whose options differ from those of this one."""
         return objections(self.digest, self._member.order, self._model.controllers)
 
     def review(self) -> None:
-        """Called a few times a second, with the model's lock held."""
+        """Write the record if that is due and nobody objects.
+
+        Called a few times a second, with the model's lock held.
+        """
         now = self._clock.now()
-        if not self._model.loaded or self._writing or now < self._not_before:
+        if not self._model.loaded or self._writing or now < self._retry_at:
             return
         if not self._member.is_leader:
-            self._told = ()
+            self._logged_objections = ()
             return
-        # Where nothing is to be written, one that is down is nobody who disagrees.
-        due = self.is_update_due()
+        # While nothing is to be written, a controller that is down does not object.
+        is_due = self.is_update_due()
         found = tuple(
-            objections(self.digest, self._member.order, self._model.controllers, missing=due)
+            objections(
+                self.digest,
+                self._member.order,
+                self._model.controllers,
+                include_absent=is_due,
+            )
         )
-        if found != self._told:
-            self._told = found
-            if found:
-                listed = "; ".join(f"{entry.node} {entry.reason}" for entry in found)
-                log.info("classes of the options have to wait: %s", listed)
-        if found or not due:
+        self._log_changed(found)
+        if found or not is_due:
             return
         self._writing = True
         self._tasks.spawn(self._write())
 
+    def _log_changed(self, found: tuple[Objection, ...]) -> None:
+        if found != self._logged_objections:
+            self._logged_objections = found
+            if found:
+                reasons = "; ".join(f"{entry.node} {entry.reason}" for entry in found)
+                log.info('class record update blocked objections="%s"', reasons)
+
     async def _write(self) -> None:
         model, member = self._model, self._member
         try:
             with model.lock:
                 leader = model.leader_claim
                 if leader is None or self.objections():
-                    # Changed since the review that found nothing in the way.
+                    # The leader or an objection has changed since the review.
                     return
-                when = conditions(member.order, model.controllers, model.classes, leader)
-                at = round(self._clock.wall(), 3)
-                record = to_record(self._options, member.node, at, self.digest)
-            await self._commit(record, when, Urgency.CLAIM)
+                versions = conditions(member.order, model.controllers, model.classes, leader)
+                changed_at = round(self._clock.wall(), 3)
+                record = to_record(self._options, member.node, changed_at, self.digest)
+            await self._commit(record, versions, Urgency.CLAIM)
         except (
             ConditionFailedError,
             StateUnavailableError,
             ProposalDroppedError,
             LeaseExpiredError,
         ) as error:
-            # Whether it was applied, the replica will tell: nothing else is done on it.
-            log.info("classes were not written: %r", error)
-            self._not_before = self._clock.now() + PAUSE_S
+            # The state watcher shows whether it was applied: nothing is concluded from the error.
+            log.info("class record write failed error=%r", error)
+            self._retry_at = self._clock.now() + RETRY_S
         finally:
             self._writing = False
 
     async def set(self, options: ClassesOptions) -> list[Objection]:
-        """Make what an operator wants the record; who keeps it from that. Refused if anything has
-        changed meanwhile, Unavailable if it is not known to be written."""
+        """Write the classes that an operator has set; returns the controllers that prevent it.
+
+        Raises ConditionFailedError if anything has changed meanwhile, and StateUnavailableError or
+        ProposalDroppedError if the write is not known to be applied.
+        """
         model, member = self._model, self._member
         with model.lock:
             # Controllers that are down read the record when they come back.
             found = [
                 entry
-                for entry in objections(self.digest, member.order, model.controllers, missing=False)
+                for entry in objections(
+                    self.digest, member.order, model.controllers, include_absent=False
+                )
                 if not model.controllers[entry.node].record.classes_digest
             ]
             if found:
                 return found
-            when = conditions(member.order, model.controllers, model.classes)
-            at = round(self._clock.wall(), 3)
-            record = to_record(options, f"operator at {member.node}", at, self.digest)
-        await self._commit(record, when, Urgency.USER)
+            versions = conditions(member.order, model.controllers, model.classes)
+            changed_at = round(self._clock.wall(), 3)
+            record = to_record(options, f"operator at {member.node}", changed_at, self.digest)
+        await self._commit(record, versions, Urgency.USER)
         return []
 
     async def _commit(
-        self, record: wire.StoredClasses, when: dict[str, int], urgency: Urgency
+        self, record: wire.StoredClasses, versions: dict[str, int], urgency: Urgency
     ) -> None:
         value = wire.raw(record)
-        wanted = (lambda: self._member.is_leader) if LEADER_KEY in when else None
+        still_wanted = (lambda: self._member.is_leader) if LEADER_KEY in versions else None
         revision = await self._committer.commit(
-            urgency, when, [wire.Write(put=CLASSES_KEY, value=value)], DEADLINE_S, wanted=wanted
+            urgency,
+            versions,
+            [wire.Write(put=CLASSES_KEY, value=value)],
+            DEADLINE_S,
+            wanted=still_wanted,
         )
-        names = ", ".join(entry.name for entry in record.classes) or "none"
-        log.info("classes by %s since revision %d: %s", record.by, revision, names)
+        names = ",".join(entry.name for entry in record.classes) or "none"
+        log.info('class record written by="%s" revision=%d classes=%s', record.by, revision, names)
         with self._model.lock:
             self._model.apply(CLASSES_KEY, value, revision)
--- a/badgerseam/classes/priority_inversions.py
+++ b/badgerseam/classes/priority_inversions.py
@@ -1,9 +1,9 @@
-"""Starts ahead of the queue: a checker over a plan and the snapshot that it was made from.
+"""Finds priority inversions of a plan, by the snapshot that it was made from.
 
-A jump is a start of lower-class work while work of a higher class and of the same rank, accepted
-before it, waits that would have had that very room. What claims its team's guarantee goes first by
-rule, and classes are those that jobs count as. The planner is not asked: the check looks at what
-has come out.
+A priority inversion is a start of lower-class work while work of a higher class and of the same
+rank, accepted before it, waits that would have fitted the same capacity. What claims its team's
+guarantee goes first by rule, and classes are those that jobs count as. The planner is not involved:
+the check uses only its result.
 """
 
 from __future__ import annotations
@@ -28,55 +28,126 @@
 def find_inversions(
     snapshot: pts.Snapshot, result: pts.Plan, rest: dict[int, int] | None = None
 ) -> list[PriorityInversion]:
-    """The jumps of a plan, one a start at most.
+    """The priority inversions of a plan, at most one for each start.
 
     `rest`: of each job, tasks that wait beyond those that its request asked for.
     """
-    requests = {request.job: request for request in snapshot.requests}
     waiting = Counter(result.waiting)
     waiting.update(rest or {})
     if not waiting or not result.starts:
         return []
-    first = min((requests[job].priority_class for job in waiting if job in requests), default=0)
-    placed: dict[int, list[pts.Request]] = {}
-    claimed = _claimed(snapshot, result, requests)
-    for start, claims in zip(result.starts, claimed, strict=True):
-        request = requests[start.job]
-        if request.priority_class > first and not claims:
-            placed.setdefault(start.node, []).append(request)
-    if not placed:
-        return []
-    after = {node.index: node for node in result.nodes}
-    zones = _zones(requests, result, after)
-    found = []
-    for index, starts in placed.items():
-        node = after[index]
-        for request in starts:
-            for job in waiting:
-                other = requests.get(job)
-                if other is None or not _before(other, request):
-                    continue
-                # Its room, and that of all that went after it in the queue to the same machine.
-                room = node.free
-                for lower in starts:
-                    if _before(other, lower):
-                        room = room.plus(lower.demand)
-                if (
-                    other.demand.fits_in(room)
-                    and node.index not in other.avoided_machines
-                    and not failed_job_predicates(other, node, zones.get(job, other.zone_counts))
-                    and _within_limit(result, other, request)
-                    and not (
-                        other.gang
-                        and not _whole_gang_fits(other, placed, after, result.teams[other.team])
-                    )
-                ):
-                    found.append(PriorityInversion(request.job, index, job))
+    return _InversionCheck(snapshot, result, list(waiting)).inversions()
+
+
+class _InversionCheck:
+    """One plan, with its starts that may be priority inversions."""
+
+    def __init__(self, snapshot: pts.Snapshot, result: pts.Plan, waiting: list[int]) -> None:
+        self._result = result
+        self._requests = {request.job: request for request in snapshot.requests}
+        self._waiting = [self._requests[job] for job in waiting if job in self._requests]
+        self._starts = self._suspect_starts(snapshot)
+        self._machines = {node.index: node for node in result.nodes}
+
+    def inversions(self) -> list[PriorityInversion]:
+        """At most one for each start."""
+        if not self._starts:
+            return []
+        zones = self._zone_counts()
+        inversions = []
+        for index, starts in self._starts.items():
+            for request in starts:
+                for other in self._waiting:
+                    zone_counts = zones.get(other.job, other.zone_counts)
+                    if self._is_inversion(request, other, self._machines[index], zone_counts):
+                        inversions.append(PriorityInversion(request.job, index, other.job))
+                        break
+        return inversions
+
+    def _suspect_starts(self, snapshot: pts.Snapshot) -> dict[int, list[pts.Request]]:
+        """By machine, the starts of a lower class than the highest that waits, except those that
+        claim a guarantee."""
+        highest = min((request.priority_class for request in self._waiting), default=0)
+        claimed = _claimed(snapshot, self._result, self._requests)
+        suspects: dict[int, list[pts.Request]] = {}
+        for start, is_claimed in zip(self._result.starts, claimed, strict=True):
+            request = self._requests[start.job]
+            if request.priority_class > highest and not is_claimed:
+                suspects.setdefault(start.node, []).append(request)
+        return suspects
+
+    def _zone_counts(self) -> dict[int, dict[str, int]]:
+        """Where the tasks of jobs are after the plan, of those that it placed any of."""
+        zones: dict[int, dict[str, int]] = {}
+        for start in self._result.starts:
+            counts = zones.setdefault(start.job, dict(self._requests[start.job].zone_counts))
+            zone = self._machines[start.node].zone
+            counts[zone] = counts.get(zone, 0) + 1
+        return zones
+
+    def _is_inversion(
+        self,
+        request: pts.Request,
+        other: pts.Request,
+        machine: pts.MachineSnapshot,
+        zone_counts: dict[str, int],
+    ) -> bool:
+        """Whether a start of a request on a machine went ahead of another job's tasks."""
+        return (
+            _goes_before(other, request)
+            and other.demand.fits_in(self._capacity_for(other, machine))
+            and machine.index not in other.avoided_machines
+            and not failed_job_predicates(other, machine, zone_counts)
+            and self._is_within_limit(other, request)
+            and (not other.gang or self._gang_fits(other))
+        )
+
+    def _capacity_for(self, other: pts.Request, machine: pts.MachineSnapshot) -> Resources:
+        """What a machine would have free for a job without the starts that went ahead of it."""
+        capacity = machine.free
+        for lower in self._starts.get(machine.index, ()):
+            if _goes_before(other, lower):
+                capacity = capacity.plus(lower.demand)
+        return capacity
+
+    def _is_within_limit(self, other: pts.Request, request: pts.Request) -> bool:
+        """Whether a task of the other job, in place of one of the request, is within its team's
+        limit."""
+        team = self._result.teams[other.team]
+        used = team.used.minus(request.demand) if request.team == other.team else team.used
+        return used.plus(other.demand).fits_in(team.limit)
+
+    def _gang_fits(self, gang: pts.Request) -> bool:
+        """Whether a whole gang would have fitted without the starts that went ahead of it."""
+        return self._gang_is_within_limit(gang) and self._gang_has_machines(gang)
+
+    def _gang_is_within_limit(self, gang: pts.Request) -> bool:
+        team = self._result.teams[gang.team]
+        used = team.used.plus(gang.demand.times(gang.count))
+        for starts in self._starts.values():
+            for lower in starts:
+                if _goes_before(gang, lower) and lower.team == gang.team:
+                    used = used.minus(lower.demand)
+        return used.fits_in(team.limit)
+
+    def _gang_has_machines(self, gang: pts.Request) -> bool:
+        zone_counts = dict(gang.zone_counts)
+        remaining = gang.count
+        for index, machine in self._machines.items():
+            capacity = self._capacity_for(gang, machine)
+            while remaining and gang.demand.fits_in(capacity):
+                if index in gang.avoided_machines:
+                    break
+                if failed_job_predicates(gang, machine, zone_counts):
                     break
-    return found
+                capacity = capacity.minus(gang.demand)
+                zone_counts[machine.zone] = zone_counts.get(machine.zone, 0) + 1
+                remaining -= 1
+        return remaining <= 0
 
 
-def _before(other: pts.Request, request: pts.Request) -> bool:
+def _goes_before(other: pts.Request, request: pts.Request) -> bool:
+    """Whether another job comes before a request in the queue, by class."""
     return (
         other.rank == request.rank
         and other.priority_class < request.priority_class
@@ -87,67 +158,22 @@
 def _claimed(
     snapshot: pts.Snapshot, result: pts.Plan, requests: dict[int, pts.Request]
 ) -> list[bool]:
-    """Of each start whether it was within its team's guarantee, those before it counted, and what
-    was evicted left out. A gang is whole in it with its first task."""
+    """Of each start, in order, whether it was within its team's guarantee.
+
+    Earlier starts count as used, the plan's victims do not. A gang is whole within the guarantee
+    with its first task.
+    """
     used = {index: team.used for index, team in snapshot.teams.items()}
     running = {task.key: task for node in snapshot.nodes for task in node.running}
     for stop in result.stops:
         victim = running[stop.key]
         used[victim.team] = used[victim.team].minus(victim.demand)
-    found: list[bool] = []
+    claimed: list[bool] = []
     gangs: dict[int, bool] = {}
     for start in result.starts:
         request = requests[start.job]
-        now = used[request.team].plus(request.demand)
-        claims = now.fits_in(snapshot.teams[request.team].guarantee)
-        found.append(gangs.setdefault(start.job, claims) if request.gang else claims)
-        used[request.team] = now
-    return found
-
-
-def _within_limit(result: pts.Plan, other: pts.Request, request: pts.Request) -> bool:
-    team = result.teams[other.team]
-    used = team.used.minus(request.demand) if request.team == other.team else team.used
-    return used.plus(other.demand).fits_in(team.limit)
-
-
-def _whole_gang_fits(
-    other: pts.Request,
-    placed: dict[int, list[pts.Request]],
-    after: dict[int, pts.MachineSnapshot],
-    team: pts.TeamUse,
-) -> bool:
-    """Whether all of a gang would have had room without the lower starts."""
-    zones = dict(other.zone_counts)
-    left = other.count
-    lowers = [lower for starts in placed.values() for lower in starts if _before(other, lower)]
-    used = team.used.plus(other.demand.times(left))
-    for lower in lowers:
-        if lower.team == other.team:
-            used = used.minus(lower.demand)
-    if not used.fits_in(team.limit):
-        return False
-    for index, node in after.items():
-        room: Resources = node.free
-        for lower in placed.get(index, ()):
-            if _before(other, lower):
-                room = room.plus(lower.demand)
-        while left and other.demand.fits_in(room) and node.index not in other.avoided_machines:
-            if failed_job_predicates(other, node, zones):
-                break
-            room = room.minus(other.demand)
-            zones[node.zone] = zones.get(node.zone, 0) + 1
-            left -= 1
-    return left <= 0
-
-
-def _zones(
-    requests: dict[int, pts.Request], result: pts.Plan, after: dict[int, pts.MachineSnapshot]
-) -> dict[int, dict[str, int]]:
-    """Where the tasks of jobs are after the plan, of those that it placed any of."""
-    found: dict[int, dict[str, int]] = {}
-    for start in result.starts:
-        zones = found.setdefault(start.job, dict(requests[start.job].zone_counts))
-        zone = after[start.node].zone
-        zones[zone] = zones.get(zone, 0) + 1
-    return found
+        used_with_start = used[request.team].plus(request.demand)
+        is_claimed = used_with_start.fits_in(snapshot.teams[request.team].guarantee)
+        claimed.append(gangs.setdefault(start.job, is_claimed) if request.gang else is_claimed)
+        used[request.team] = used_with_start
+    return claimed
--- a/badgerseam/classes/rules.py
+++ b/badgerseam/classes/rules.py
@@ -1,8 +1,16 @@
-"""What the planner asks of the site's classes."""
+"""Applies the site's priority classes to plans: the class of each job, and capacity reserved for
+higher classes.
+
+Of higher classes, capacity is reserved for the tasks of large jobs that only the next plan places,
+for what is about to arrive after a takeover, and for what waits in other shards until the leader
+has transferred machines to them.
+"""
 
 from __future__ import annotations
 
 import logging
+import math
+from typing import NamedTuple
 
 from badgerseam.classes import arrival_forecast
 from badgerseam.classes.arrival_forecast import TaskKind
@@ -19,20 +27,47 @@
 
 log = logging.getLogger("badgerseam.classes")
 
-REFRESH_S = 0.2
-"""How long a look at the waiting work of other shares serves."""
-PASS_S = 0.7
-"""How long work has waited before room of another share is kept for it: till then its own share
-places it, or its placement is on its way to be durable."""
-MAX_HOLD_S = 5.0
-"""How long a machine is kept for a job of another share at a time: the leader looks four times a
-second, and passes it on with one write."""
-PAUSE_S = 20.0
-"""After that, before machines are kept for the same job again."""
+WAITING_CACHE_S = 0.2
+"""How long the waiting requests of a shard are cached."""
+MIN_WAIT_S = 0.7
+"""How long work has waited before machines of another shard are reserved for it: until then its own
+shard places it, or its placement is about to be durable."""
+MAX_RESERVED_S = 5.0
+"""How long machines are reserved for a job of another shard at a time: the leader plans transfers
+four times a second, and makes one with one write."""
+RESERVATION_PAUSE_S = 20.0
+"""After that, before machines are reserved for the same job again."""
+MIN_EXPECTED_TASKS = 0.5
+"""Tasks of a kind that have to be expected for a new leader to be cautious."""
+
+
+class _TakeoverRates(NamedTuple):
+    """The arrival rates of a shard before its owner claimed it."""
+
+    owned_since: float
+    rates: dict[TaskKind, float]
+
+
+class _WaitingRequests(NamedTuple):
+    """The waiting requests of a shard at a time."""
+
+    at: float
+    requests: list[pts.Request]
+
+
+class _LeaderCaution(NamedTuple):
+    """What a new leader is cautious about; see `ClassRules.cautious_below`."""
+
+    claim_version: int
+    since: float
+    below: int | None
 
 
 class ClassRules:
-    """Answers for the planner, and for the leader. Callers hold the model's lock."""
+    """Answers the planner and the leader on classes (`sched.planner.ClassPolicy`).
+
+    Callers hold the model's lock.
+    """
 
     def __init__(self, model: Model, planner: Planner) -> None:
         self._model = model
@@ -40,13 +75,16 @@
         self._clock = model.clock
         self._table: ClassTable | None = None
         self._version = -1
-        self._rates: dict[int, tuple[float, dict[TaskKind, float]]] = {}
-        self._looked: dict[int, tuple[float, list[pts.Request]]] = {}
-        self._holding: dict[str, float] = {}
+        self._rates: dict[int, _TakeoverRates] = {}
+        """By shard, as are the waiting requests."""
+        self._waiting_requests: dict[int, _WaitingRequests] = {}
+        self._reserved_since: dict[str, float] = {}
+        """By job of another shard, when a reservation for it began."""
         self.inversions = 0
-        self.reserved_machines = 0
-        self._led: tuple[int, float, int | None] = (0, -1e9, None)
-        """Since when this controller leads, under which stamp, and what was coming then."""
+        """Priority inversions in the plans of this controller."""
+        self.plans_with_reservations = 0
+        """Plans in which work of a lower class avoided a reserved machine."""
+        self._caution = _LeaderCaution(0, -math.inf, None)
         model.class_of = self.effective_class
         planner.classes = self
 
@@ -58,11 +96,11 @@
             self._version = version
             self._table = None if record is None else ClassTable(record[0])
             self._rates.clear()
-            self._looked.clear()
+            self._waiting_requests.clear()
         return self._table
 
     def own_class(self, job: Job) -> int:
-        """The class that a job belongs to."""
+        """The class that a job belongs to, without ageing."""
         return self.class_of_submission(job.spec)
 
     def class_of_submission(self, spec: Submission) -> int:
@@ -71,14 +109,14 @@
         return 0 if table is None else table.own_class(spec.job_class, spec.team)
 
     def effective_class(self, job: Job) -> int:
-        """The class that a job counts as now."""
+        """The class that a job counts as now, with ageing."""
         table = self.table()
         if table is None:
             return 0
         own = table.own_class(job.spec.job_class, job.spec.team)
         if own == 0:
             return 0
-        # Attempts and bits are durable, and so is when it was accepted: a new owner finds the same.
+        # Attempts, finished tasks and acceptance are durable: a new owner gets the same.
         started = max(len(job.tries), job.finished + job.live)
         return table.effective_class(own, self._clock.wall() - job.submitted, job.tasks, started)
 
@@ -91,106 +129,116 @@
         return table.own_class(arrival.job_class, team)
 
     def reserve_capacity(self, shard: Shard, snapshot: pts.Snapshot, leading: bool = False) -> None:
-        """Keep room of a share from lower classes before it is planned for.
+        """Reserve machines of a shard for higher classes before a plan is made of it.
 
-        `leading`: by the leader, who only looks at which machines could be passed on.
+        `leading`: for the leader, which only decides which machines could be transferred.
         """
         table = self.table()
         if table is None or all(request.priority_class == 0 for request in snapshot.requests):
             return
-        kept = self._waiting_in_other_shards(shard, snapshot)
+        reservations = self._for_other_shards(shard, snapshot)
         if not leading:
-            kept += self._truncated(snapshot)
-            kept += self._forecast(shard, table)
-        if not kept:
+            reservations += self._for_truncated_requests(snapshot)
+            reservations += self._for_expected_arrivals(shard, table)
+        if not reservations:
             return
-        taken = reserve(snapshot, kept)
-        if taken and not leading:
-            self.reserved_machines += 1
-            log.debug("share %d: %d machines kept from lower classes", shard.index, len(taken))
-
-    def _truncated(self, snapshot: pts.Snapshot) -> list[ReservedCapacity]:
-        """Of a job of which so many tasks wait that only some are planned at once, the rest comes
-        in the next round: lower classes must not take its room in this one."""
-        found = []
-        for request, rest in self._remaining_tasks(snapshot):
-            found.append(
-                ReservedCapacity(
-                    request.priority_class,
-                    request.rank,
-                    request.demand,
-                    request.spot,
-                    rest,
-                    request,
-                    every=True,
-                )
+        machines = reserve(snapshot, reservations)
+        if machines and not leading:
+            self.plans_with_reservations += 1
+            log.debug("capacity reserved shard=%d machines=%d", shard.index, len(machines))
+
+    def _for_truncated_requests(self, snapshot: pts.Snapshot) -> list[ReservedCapacity]:
+        """For jobs with so many waiting tasks that a plan places only some of them.
+
+        The next plan places the others: lower classes must not take their capacity in this one.
+        """
+        return [
+            ReservedCapacity(
+                request.priority_class,
+                request.rank,
+                request.demand,
+                request.spot,
+                remaining,
+                request,
+                all_feasible=True,
             )
-        return found
+            for request, remaining in self._remaining_tasks(snapshot)
+        ]
 
     def _remaining_tasks(self, snapshot: pts.Snapshot) -> list[tuple[pts.Request, int]]:
-        found = []
+        """The truncated requests, each with the tasks that may start beyond it."""
+        truncated = []
         for request in snapshot.requests:
             if request.count < MAX_STARTS or request.gang:
                 continue
             job = self._model.jobs[request.job]
             team = snapshot.teams[request.team]
             if job is not None:
-                most = request.demand.count_in(team.headroom())
+                max_starts = request.demand.count_in(team.headroom())
                 throttle = None if job.spec.terms is None else self._planner.terms.max_starts(job)
                 if throttle is not None:
-                    most = min(most, throttle)
-                rest = min(job.waiting(), most) - request.count
-                if rest > 0:
-                    found.append((request, rest))
-        return found
-
-    def _forecast(self, shard: Shard, table: ClassTable) -> list[ReservedCapacity]:
-        """What higher classes are about to submit, for a while after a takeover of the share."""
-        until = shard.owned_since + table.held_s
+                    max_starts = min(max_starts, throttle)
+                remaining = min(job.waiting(), max_starts) - request.count
+                if remaining > 0:
+                    truncated.append((request, remaining))
+        return truncated
+
+    def _for_expected_arrivals(self, shard: Shard, table: ClassTable) -> list[ReservedCapacity]:
+        """For what higher classes are about to submit, for a while after a takeover."""
+        until = shard.owned_since + table.max_hold_s
         if self._clock.now() >= until or len(table.names) < 2:
             return []
         since = shard.owned_since
-        if since - shard.unowned_since < arrival_forecast.LONGEST_GAP_S:
+        if since - shard.unowned_since < arrival_forecast.MAX_UNOWNED_S:
             since = shard.unowned_since
-        arrivals = self._model.arrivals
-        known = self._rates.get(shard.index)
-        if known is None or known[0] != shard.owned_since:
-            lowest = len(table.names) - 1
-            found = arrival_forecast.rates(
-                arrivals, self.class_of_arrival, shard.index, since, lowest
-            )
-            known = self._rates[shard.index] = (shard.owned_since, found)
-        coming = arrival_forecast.expected_tasks(
-            known[1], reversed(arrivals), self.class_of_arrival, shard.index, since, until
+        expected = arrival_forecast.expected_tasks(
+            self._rates_before_takeover(shard, table, since),
+            reversed(self._model.arrivals),
+            self.class_of_arrival,
+            shard.index,
+            since,
+            until,
         )
         return [
             ReservedCapacity(kind.priority_class, kind.rank, kind.demand, kind.spot, tasks)
-            for kind, tasks in coming.items()
+            for kind, tasks in expected.items()
         ]
 
-    def _waiting_in_other_shards(
-        self, shard: Shard, snapshot: pts.Snapshot
-    ) -> list[ReservedCapacity]:
-        """What waits in other shares: the empty machines that it could have are kept until the
-        leader has passed them on."""
-        lowest = max(request.priority_class for request in snapshot.requests)
+    def _rates_before_takeover(
+        self, shard: Shard, table: ClassTable, before: float
+    ) -> dict[TaskKind, float]:
+        """The arrival rates of a shard before a time, computed once after each takeover."""
+        cached = self._rates.get(shard.index)
+        if cached is None or cached.owned_since != shard.owned_since:
+            rates = self._arrival_rates(shard, table, before)
+            cached = self._rates[shard.index] = _TakeoverRates(shard.owned_since, rates)
+        return cached.rates
+
+    def _arrival_rates(
+        self, shard: Shard, table: ClassTable, before: float
+    ) -> dict[TaskKind, float]:
+        lowest_class = len(table.names) - 1
+        return arrival_forecast.arrival_rates(
+            self._model.arrivals, self.class_of_arrival, shard.index, before, lowest_class
+        )
+
+    def _for_other_shards(self, shard: Shard, snapshot: pts.Snapshot) -> list[ReservedCapacity]:
+        """For what waits in other shards: empty machines, until the leader has transferred them."""
+        lowest_class = max(request.priority_class for request in snapshot.requests)
         if not any(node.free == node.total for node in snapshot.nodes):
             return []
         now = self._clock.now()
-        found = []
+        reservations = []
         for other in self._model.shards:
             if other.index == shard.index:
                 continue
             for request in self._waiting(other, now):
                 job = self._model.jobs[request.job]
-                if request.priority_class >= lowest or job is None:
+                if request.priority_class >= lowest_class or job is None:
                     continue
-                since = self._holding.setdefault(job.id, now)
-                if now - since > MAX_HOLD_S + PAUSE_S:
-                    self._holding[job.id] = now
-                elif now - since > MAX_HOLD_S:
+                if not self._may_reserve_for(job, now):
                     continue
-                found.append(
+                reservations.append(
                     ReservedCapacity(
                         request.priority_class,
                         request.rank,
@@ -198,95 +246,98 @@
                         request.spot,
                         request.count,
                         request,
-                        whole=True,
+                        empty_only=True,
                     )
                 )
-        return found
+        return reservations
+
+    def _may_reserve_for(self, job: Job, now: float) -> bool:
+        """Whether machines may be reserved for a job of another shard now, or in a pause."""
+        since = self._reserved_since.setdefault(job.id, now)
+        if now - since > MAX_RESERVED_S + RESERVATION_PAUSE_S:
+            self._reserved_since[job.id] = now
+            return True
+        return now - since <= MAX_RESERVED_S
 
     def _waiting(self, shard: Shard, now: float) -> list[pts.Request]:
-        """A share's work of all classes but the lowest that has waited for a while."""
-        known = self._looked.get(shard.index)
-        if known is not None and now - known[0] < REFRESH_S:
-            return known[1]
-        found = []
-        room: dict[int, Resources] = {}
-        lowest = 0 if self._table is None else len(self._table.names) - 1
+        """A shard's requests of all classes but the lowest that have waited for a while."""
+        cached = self._waiting_requests.get(shard.index)
+        if cached is not None and now - cached.at < WAITING_CACHE_S:
+            return cached.requests
+        waiting = []
+        headroom: dict[int, Resources] = {}
+        lowest_class = 0 if self._table is None else len(self._table.names) - 1
         for request in self._planner.requests(shard):
             job = self._model.jobs[request.job]
-            if job is None or request.priority_class >= lowest or now - job.last_seen_at < PASS_S:
+            if (
+                job is None
+                or request.priority_class >= lowest_class
+                or now - job.last_seen_at < MIN_WAIT_S
+            ):
                 continue
-            left = room.get(request.team)
-            if left is None:
-                team = self._model.teams[request.team]
-                left = room[request.team] = team.limit.minus(self._model.usage(request.team))
-            request.count = min(request.count, request.demand.count_in(left))
+            if request.team not in headroom:
+                limit = self._model.teams[request.team].limit
+                headroom[request.team] = limit.minus(self._model.usage(request.team))
+            request.count = min(request.count, request.demand.count_in(headroom[request.team]))
             if request.count > 0:
-                found.append(request)
-        if not found and shard.index in self._looked:
-            self._forget()
-        self._looked[shard.index] = (now, found)
-        return found
+                waiting.append(request)
+        if not waiting and shard.index in self._waiting_requests:
+            self._forget_ended_jobs()
+        self._waiting_requests[shard.index] = _WaitingRequests(now, waiting)
+        return waiting
 
-    def _forget(self) -> None:
-        """Drop what is known of jobs that are over."""
-        for name in [name for name in self._holding if name in self._model.ended]:
-            del self._holding[name]
+    def _forget_ended_jobs(self) -> None:
+        for job_id in [job_id for job_id in self._reserved_since if job_id in self._model.ended]:
+            del self._reserved_since[job_id]
 
     def cautious_below(self) -> int | None:
-        """The class below which a new leader moves no machines for a while after its first round:
-        the highest one of which anything is about to come; None if there is no reason."""
+        """The class below which a new leader transfers no machines for a while after its first
+        round: the highest one of which arrivals are expected; None if there is none."""
         table, leader = self.table(), self._model.leader_claim
         if table is None or leader is None or len(table.names) < 2:
             return None
         now = self._clock.now()
-        if self._led[0] != leader.version:
-            found: list[int] = []
-            for shard in self._model.shards:
-                rates = arrival_forecast.rates(
-                    self._model.arrivals,
-                    self.class_of_arrival,
-                    shard.index,
-                    now,
-                    len(table.names) - 1,
-                )
-                found += [
-                    kind.priority_class
-                    for kind, rate in rates.items()
-                    if rate * table.held_s >= 0.5
-                ]
-            self._led = (leader.version, now, min(found, default=None))
-        return self._led[2] if now < self._led[1] + table.held_s else None
+        if self._caution.claim_version != leader.version:
+            expected = [
+                kind.priority_class
+                for shard in self._model.shards
+                for kind, rate in self._arrival_rates(shard, table, now).items()
+                if rate * table.max_hold_s >= MIN_EXPECTED_TASKS
+            ]
+            self._caution = _LeaderCaution(leader.version, now, min(expected, default=None))
+        return self._caution.below if now < self._caution.since + table.max_hold_s else None
 
     def on_plan(self, shard: Shard, snapshot: pts.Snapshot, result: pts.Plan) -> None:
-        """Count the jumps of a plan that is being carried out."""
+        """Count the priority inversions of a plan that is about to be carried out."""
         if not result.starts or all(request.priority_class == 0 for request in snapshot.requests):
             return
-        rest = {request.job: count for request, count in self._remaining_tasks(snapshot)}
-        found = find_inversions(snapshot, result, rest)
-        self.inversions += len(found)
-        low = sum(1 for start in result.starts if self._klass(start.job) > 0)
-        if found or low:
+        remaining = {request.job: count for request, count in self._remaining_tasks(snapshot)}
+        inversions = find_inversions(snapshot, result, remaining)
+        self.inversions += len(inversions)
+        lower = sum(1 for start in result.starts if self._class_of_index(start.job) > 0)
+        if inversions or lower:
             log.debug(
-                "share %d: %d starts, %d of lower classes, %d jumps (%d since the start)",
+                "plan checked for priority inversions shard=%d starts=%d lower_class_starts=%d "
+                "inversions=%d inversions_total=%d",
                 shard.index,
                 len(result.starts),
-                low,
-                len(found),
+                lower,
+                len(inversions),
                 self.inversions,
             )
 
-    def _klass(self, index: int) -> int:
+    def _class_of_index(self, index: int) -> int:
         job = self._model.jobs[index]
         return 0 if job is None else self.effective_class(job)
 
     def waiting(self) -> dict[str, int]:
-        """Tasks that wait, by the name of the class they belong to."""
+        """The number of waiting tasks, by the name of the class that they belong to."""
         table = self.table()
         if table is None or not table.names:
             return {}
-        found = dict.fromkeys(table.names, 0)
+        waiting = dict.fromkeys(table.names, 0)
         for jobs in self._model.open_jobs:
             for job in jobs.values():
                 if job.phase == Phase.OPEN:
-                    found[table.names[self.own_class(job)]] += job.waiting()
-        return found
+                    waiting[table.names[self.own_class(job)]] += job.waiting()
+        return waiting
--- a/badgerseam/classes/table.py
+++ b/badgerseam/classes/table.py
@@ -1,4 +1,7 @@
-"""Which class a job belongs to, and as which it counts: pure functions of the site's record."""
+"""The table of priority classes: which class a job belongs to, and which it counts as after ageing.
+
+Everything here is a pure function of the site's record of classes.
+"""
 
 from __future__ import annotations
 
@@ -9,35 +12,41 @@
 
 
 class ClassTable:
-    """The site's classes, ready to be asked some thousand times a plan."""
+    """The site's classes, indexed for some thousand lookups a plan.
+
+    A class is a number, the position in the site's order: 0 goes first.
+    """
 
     def __init__(self, record: wire.StoredClasses) -> None:
         self.names = [entry.name for entry in record.classes]
         self.age_s = record.age_s
-        self.held_s = record.max_hold_s
-        self._jobs: dict[str, int] = {}
-        self._teams: dict[str, int] = {}
-        for number, entry in enumerate(record.classes):
+        """A job counts as one class higher for each of these times that it has waited; 0: never."""
+        self.max_hold_s = record.max_hold_s
+        """How long capacity is reserved after a takeover for what the higher classes may submit."""
+        self._class_by_job_class: dict[str, int] = {}
+        self._class_by_team: dict[str, int] = {}
+        for priority_class, entry in enumerate(record.classes):
             for job_class in entry.jobs:
-                self._jobs.setdefault(job_class, number)
+                self._class_by_job_class.setdefault(job_class, priority_class)
             for team in entry.teams:
-                self._teams.setdefault(team, number)
-        last = max(0, len(self.names) - 1)
-        self._default = self.names.index(record.default) if record.default in self.names else last
+                self._class_by_team.setdefault(team, priority_class)
+        self._default = max(0, len(self.names) - 1)
+        if record.default in self.names:
+            self._default = self.names.index(record.default)
 
     def own_class(self, job_class: str, team: str) -> int:
-        """The class that a job belongs to; the first one is 0."""
-        found = self._jobs.get(job_class)
-        if found is None:
-            found = self._teams.get(team)
-        return self._default if found is None else found
+        """The class that a job belongs to, by its job class, else its team, else the default."""
+        priority_class = self._class_by_job_class.get(job_class)
+        if priority_class is None:
+            priority_class = self._class_by_team.get(team)
+        return self._default if priority_class is None else priority_class
 
     def effective_class(self, own: int, waited_s: float, tasks: int, started: int) -> int:
         """The class that a job counts as: one higher for each `age_s` it has waited since it was
         accepted, until half of its tasks have been started.
 
-        `started`: how many of its tasks were ever started. What is requeued does not age: it had
-        its turn, and an old array that loses a machine would go ahead of everything.
+        `started`: how many of its tasks were ever started. Requeued tasks do not age: they have
+        had their turn, and an old array that loses a machine would go ahead of everything.
         """
         if own == 0 or self.age_s <= 0 or 2 * started >= tasks:
             return own
@@ -45,7 +54,7 @@
 
 
 def to_record(options: ClassesOptions, by: str, at: float, digest: str) -> wire.StoredClasses:
-    """The record that says what the options say."""
+    """The record that stores the options; `by`: who set them, `at`: a time of day."""
     classes = [
         wire.StoredClass(entry.name, sorted(entry.jobs), sorted(entry.teams))
         for entry in options.order
@@ -56,13 +65,12 @@
 
 
 def to_options(record: wire.StoredClasses) -> ClassesOptions:
-    """A record in the form of the options, to be shown and set again."""
+    """The options that a record stores."""
     order = [ClassOptions(entry.name, entry.jobs, entry.teams) for entry in record.classes]
     return ClassesOptions(order, record.default, record.age_s, record.max_hold_s)
 
 
 def digest_of(options: ClassesOptions) -> str:
-    """The same for options that mean the same, however their lists are written down; never
-    empty."""
+    """A digest of the options that does not depend on the order of their lists; never empty."""
     record = to_record(options, "", 0.0, "")
     return hashlib.sha256(wire.encode(record)).hexdigest()[:16]
