--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -447,7 +447,7 @@
             if self.migration is not None:
                 group.create_task(self.migration.keep())
             if self.runs is not None:
-                group.create_task(self.runs.keep())
+                group.create_task(self.runs.run_forever())
             if self.attempt_log is not None:
                 group.create_task(self.attempt_log.keep())
             group.create_task(self._tick())
--- a/badgerseam/runs/__init__.py
+++ b/badgerseam/runs/__init__.py
@@ -1,1 +1,1 @@
-"""Reckoning runs: members' standing in shared state, so that whoever takes over goes on."""
+"""Reckoning runs: the states of their members lie in shared state, for the next owner."""
--- a/badgerseam/runs/counting.py
+++ b/badgerseam/runs/counting.py
@@ -1,4 +1,4 @@
-"""How many members of a run stand in which way, counted in slices."""
+"""Counts the members of a run by state, in slices that do not block the event loop."""
 
 from __future__ import annotations
 
@@ -8,112 +8,125 @@
 
 from badgerseam.model.job import Job, Phase
 from badgerseam.model.model import Model
-from badgerseam.runs.run_index import MemberState, PlanJobs, RunIndex
+from badgerseam.runs.run_index import FIRST_ROUND, EndedJob, MemberState, PlanJobs, RunIndex
 
 SLICE = 2000
-"""Members looked at before the loop is let go of."""
+"""Members that are counted before the event loop runs other tasks."""
 
 
 @dataclass(slots=True)
 class MemberCounts:
-    """Members by how they stand."""
+    """The members of a run by state."""
 
     by_state: Counter[MemberState] = field(default_factory=Counter)
     failed: int = 0
-    """Of those that are neither reckoned nor withdrawn: such as have failed as often as the plan
-    tries them at first."""
-    jobs_counted: int = 0
+    """Of the unresolved ones, those that have failed as often as the first round tries them."""
+    revision: int = 0
     """The revision at which counting began."""
 
     @property
     def total(self) -> int:
+        """All members."""
         return self.by_state.total()
 
     @property
     def reckoned(self) -> int:
+        """Members that have finished."""
         return self.by_state[MemberState.RECKONED]
 
     @property
     def cancelled(self) -> int:
+        """Members of jobs that were cancelled before they had finished."""
         return self.by_state[MemberState.CANCELLED]
 
     @property
     def unresolved(self) -> int:
-        """Neither reckoned nor withdrawn."""
+        """Members that are neither reckoned nor cancelled."""
         return self.total - self.reckoned - self.cancelled
 
     def reasons(self) -> dict[str, int]:
-        """Why members are unresolved: those that failed apart from those that did not come to it.
-        Running and placed ones are told apart from the former as well."""
-        known = self.by_state
-        waiting = known[MemberState.WAITING] + known[MemberState.DEFERRED]
-        parts = {
-            "running": known[MemberState.RUNNING],
-            "placed": known[MemberState.PLACED],
+        """Why members are unresolved, with their numbers: running, placed, failed too often, or
+        still waiting."""
+        waiting = self.by_state[MemberState.WAITING] + self.by_state[MemberState.DEFERRED]
+        reasons = {
+            "running": self.by_state[MemberState.RUNNING],
+            "placed": self.by_state[MemberState.PLACED],
             "failed": self.failed,
             "waiting": waiting - self.failed,
         }
-        return {name: count for name, count in parts.items() if count}
+        return {name: count for name, count in reasons.items() if count}
 
 
-async def count(model: Model, book: RunIndex, plan: PlanJobs, number: int) -> MemberCounts:
-    """Count a run's members. A job counts once, as it is when its turn comes; what is known to be
-    done goes by the records, not by what an owner has only seen yet."""
-    result = MemberCounts()
+async def count(model: Model, run_index: RunIndex, plan: PlanJobs, number: int) -> MemberCounts:
+    """Count the members of a run.
+
+    A job counts once, as it is when its turn comes. Members are reckoned by the records, not by
+    what an owner has only observed yet.
+    """
+    counts = MemberCounts()
     with model.lock:
-        result.jobs_counted = model.revision
+        counts.revision = model.revision
         jobs = plan.members(number)
         for ended in plan.ended.values():
             if plan.run_number(ended.queue_position) == number:
-                result.by_state[MemberState.RECKONED] += ended.reckoned
-                result.by_state[MemberState.CANCELLED] += ended.tasks - ended.reckoned
-    looked = 0
+                _add_ended_job(ended, counts)
+    steps = 0
     for job in jobs:
         with model.lock:
-            looked += 1 + _count(book, plan, job, result)
-        if looked >= SLICE:
-            looked = 0
+            steps += 1 + _add_job(run_index, plan, job, counts)
+        if steps >= SLICE:
+            steps = 0
             await asyncio.sleep(0)
-    return result
+    return counts
+
+
+def _add_ended_job(ended: EndedJob, counts: MemberCounts) -> None:
+    counts.by_state[MemberState.RECKONED] += ended.reckoned
+    counts.by_state[MemberState.CANCELLED] += ended.tasks - ended.reckoned
 
 
-def _count(book: RunIndex, plan: PlanJobs, job: Job, result: MemberCounts) -> int:
-    """Add a job's members; in how many steps."""
+def _add_job(run_index: RunIndex, plan: PlanJobs, job: Job, counts: MemberCounts) -> int:
+    """Count the members of a job; returns the number of steps that it took."""
     ended = plan.ended.get(job.id)
     if ended is not None:
         # Since the count began.
-        result.by_state[MemberState.RECKONED] += ended.reckoned
-        result.by_state[MemberState.CANCELLED] += ended.tasks - ended.reckoned
+        _add_ended_job(ended, counts)
         return 1
-    done = job.durably_done()
-    result.by_state[MemberState.RECKONED] += done
-    left = job.tasks - done
+    reckoned = job.durably_done()
+    counts.by_state[MemberState.RECKONED] += reckoned
+    remaining = job.tasks - reckoned
     for task in job.attempts:
-        standing = book.member_state(plan, job, task)
-        if standing in (MemberState.PLACED, MemberState.RUNNING):
-            result.by_state[standing] += 1
-            left -= 1
-    failed = book.deferred_members(plan, job)
-    result.failed += failed
-    if failed and book.phase(plan, job) in ("open", "reckoning"):
-        result.by_state[MemberState.DEFERRED] += failed
-        left -= failed
-    result.by_state[MemberState.WAITING] += left
+        state = run_index.member_state(plan, job, task)
+        if state in (MemberState.PLACED, MemberState.RUNNING):
+            counts.by_state[state] += 1
+            remaining -= 1
+    failed = run_index.deferred_members(plan, job)
+    counts.failed += failed
+    if failed and run_index.phase(plan, job) in FIRST_ROUND:
+        counts.by_state[MemberState.DEFERRED] += failed
+        remaining -= failed
+    counts.by_state[MemberState.WAITING] += remaining
     return len(job.attempts) + len(job.notes)
 
 
-def first_round_is_over(book: RunIndex, plan: PlanJobs, number: int) -> tuple[bool, int]:
-    """Whether all members of a run's first round are reckoned, withdrawn or set aside, and how
-    many are set aside. Steps: one a job while it is not, one a failed member at its end."""
-    aside = 0
+def first_round_is_over(run_index: RunIndex, plan: PlanJobs, number: int) -> tuple[bool, int]:
+    """Whether all members of a run's first round are reckoned, cancelled or deferred, and how many
+    are deferred.
+
+    Takes a step for each job while it is not over, and one for each failed member at its end.
+    """
+    deferred = 0
     for job in plan.all_jobs():
         if plan.run_number(job.queue_position) != number:
             continue
-        left = job.tasks - job.finished
-        if left > len(job.notes) or left > (failed := book.deferred_members(plan, job)):
+        unfinished = job.tasks - job.finished
+        if unfinished > len(job.notes):
+            return False, 0
+        failed = run_index.deferred_members(plan, job)
+        if unfinished > failed:
             return False, 0
-        aside += failed
-    return True, aside
+        deferred += failed
+    return True, deferred
 
 
 def has_begun(plan: PlanJobs, number: int) -> bool:
--- a/badgerseam/runs/rules.py
+++ b/badgerseam/runs/rules.py
@@ -1,4 +1,4 @@
-"""What the plan of a share asks of runs: who may start now, how many, and in which order."""
+"""Start rules of reckoning runs: which members may start now, how many, and in which order."""
 
 from __future__ import annotations
 
@@ -7,107 +7,120 @@
 from badgerseam.model.job import Job
 from badgerseam.runs.run_index import PlanJobs, RunIndex
 
-SCALE = 1e-3
-"""Estimates only order a run's jobs among each other: an hour counts as some seconds of waiting."""
+ESTIMATE_WEIGHT = 1e-3
+"""Estimates only order the jobs of a run among each other: an hour counts as some seconds of
+waiting."""
 
 
 class RunStartRules:
-    """Answers in a step or two for each job; a round of a limited plan sorts its jobs once."""
+    """Answers the planner on runs (`sched.planner.RunPolicy`).
 
-    def __init__(self, book: RunIndex) -> None:
-        self._book = book
+    Takes a step or two for each job; a round of a plan with a limit sorts its jobs once. Callers
+    hold the model's lock.
+    """
+
+    def __init__(self, run_index: RunIndex) -> None:
+        self._run_index = run_index
         self._allowed: dict[tuple[str, int], dict[int, int]] = {}
-        """How many members of each job may start in this round, by plan and share; of plans that
-        have a limit."""
+        """How many members of each job may start in this round, by plan and shard; of plans with a
+        limit."""
 
     def begin_round(self, shard: int, now: float) -> None:
-        """A round begins for a share: divide what the limits of its plans leave."""
-        if not self._book.is_active:
+        """A planning round begins for a shard: divide among jobs what the limits of plans leave."""
+        if not self._run_index.is_active:
             return
-        for name, found in self._book.plans.items():
-            part = found.members_allowed_in(shard)
-            if part is not None:
-                self._allowed[name, shard] = self._divide(found, shard, part, now)
-
-    def _divide(self, found: PlanJobs, shard: int, part: int, now: float) -> dict[int, int]:
-        tally = found.counters.get(shard)
-        left = part - (0 if tally is None else tally.live)
+        for name, plan in self._run_index.plans.items():
+            limit = plan.members_allowed_in(shard)
+            if limit is not None:
+                self._allowed[name, shard] = self._divide(plan, shard, limit, now)
+
+    def _divide(self, plan: PlanJobs, shard: int, limit: int, now: float) -> dict[int, int]:
+        """How many members of each job may start under a limit, by job index."""
+        counter = plan.counters.get(shard)
+        remaining = limit - (0 if counter is None else counter.live)
         allowed: dict[int, int] = {}
-        if left <= 0:
+        if remaining <= 0:
             return allowed
-        waiting = [
-            job
-            for job in found.jobs.get(shard, {}).values()
-            if job.startable() > 0 and self._closed_to(found, job) is None
-        ]
-        waiting.sort(key=lambda job: (-job.rank, self._key(found, job), job.queue_position))
-        for job in waiting:
-            count = self._book.startable(found, job)
+        for job in self._jobs_in_order(plan, shard):
             if now < job.retry_at or (job.is_failing and job.attempts):
-                # It says so itself, and leaves its part to others.
+                # Its backoff holds it back anyway, and it leaves its part to others.
                 allowed[job.index] = 1
                 continue
+            count = self._run_index.startable(plan, job)
             if job.is_gang:
-                # One that is larger than the limit would never start: it runs alone.
-                count = count if count <= left or left == part else 0
-            elif job.is_failing:
-                count = 1
-            allowed[job.index] = count = count if job.is_gang else min(count, left)
-            left -= count
-            if left <= 0:
+                # A gang that is larger than the limit would never start: it runs alone.
+                count = count if count <= remaining or remaining == limit else 0
+            else:
+                count = min(1 if job.is_failing else count, remaining)
+            allowed[job.index] = count
+            remaining -= count
+            if remaining <= 0:
                 break
         return allowed
 
-    def _closed_to(self, found: PlanJobs, job: Job) -> str | None:
-        phase = self._book.phase(found, job)
+    def _jobs_in_order(self, plan: PlanJobs, shard: int) -> list[Job]:
+        """The jobs of a plan in a shard with members that may start, in the order of the queue."""
+        jobs = [
+            job
+            for job in plan.jobs.get(shard, {}).values()
+            if job.startable() > 0 and self._run_hold_reason(plan, job) is None
+        ]
+        jobs.sort(key=lambda job: (-job.rank, self._order_key(plan, job), job.queue_position))
+        return jobs
+
+    def _run_hold_reason(self, plan: PlanJobs, job: Job) -> str | None:
+        """Why a job's run lets no more of its members start, apart from a limit; or None."""
+        phase = self._run_index.phase(plan, job)
         if phase is None:
             return "run_not_open"
         if phase == "closing":
             return "run_closing"
-        startable = self._book.startable(found, job)
+        startable = self._run_index.startable(plan, job)
         if startable < job.waiting() and (job.is_gang or startable <= 0):
             return "run_aside"
         return None
 
     def hold_reason(self, job: Job) -> str | None:
         """Why no more of the job's tasks start now; None if they may."""
-        found = self._book.plan_jobs(job)
-        if found is None or not self._book.is_active:
+        plan = self._run_index.plan_jobs(job)
+        if plan is None or not self._run_index.is_active:
             return None
-        why = self._closed_to(found, job)
-        if why is not None:
-            return why
-        if found.plan.most_at_once is not None and not self._allowance(found, job):
+        reason = self._run_hold_reason(plan, job)
+        if reason is not None:
+            return reason
+        if plan.plan.most_at_once is not None and not self._allowance(plan, job):
             return "run_full"
         return None
 
-    def _allowance(self, found: PlanJobs, job: Job) -> int:
-        return self._allowed.get((found.plan.name, job.shard), {}).get(job.index, 0)
+    def _allowance(self, plan: PlanJobs, job: Job) -> int:
+        return self._allowed.get((plan.plan.name, job.shard), {}).get(job.index, 0)
 
     def max_starts(self, job: Job) -> int | None:
         """How many tasks of a job may start in this round; None: as many as wait."""
-        if not self._book.is_active:
+        if not self._run_index.is_active:
             return None
-        found = self._book.plan_jobs(job)
-        if found is None:
+        plan = self._run_index.plan_jobs(job)
+        if plan is None:
             return None
-        if found.plan.most_at_once is None:
-            return self._book.startable(found, job)
-        return self._allowance(found, job)
+        if plan.plan.most_at_once is None:
+            return self._run_index.startable(plan, job)
+        return self._allowance(plan, job)
 
     def order_time(self, job: Job) -> float | None:
-        """Where the job goes among others of its rank, as a time of day: less goes first. None if
-        its plan says nothing of it."""
-        found = self._book.plan_jobs(job)
-        if found is None or found.plan.first == "deadline" or not self._book.is_active:
+        """The time of day by which the job is ordered among others of its rank, the earliest first;
+        None if its plan does not change the order."""
+        plan = self._run_index.plan_jobs(job)
+        if plan is None or plan.plan.first == "deadline" or not self._run_index.is_active:
             return None
-        return self._key(found, job)
+        return self._order_key(plan, job)
 
-    def _key(self, found: PlanJobs, job: Job) -> float:
-        first, spec = found.plan.first, job.spec
+    def _order_key(self, plan: PlanJobs, job: Job) -> float:
+        first, spec = plan.plan.first, job.spec
         if first == "accepted":
             return job.submitted
         if first == "deadline":
             return math.inf if spec.deadline_s is None else job.submitted + spec.deadline_s
-        opened = job.submitted if found.record is None else found.record.opened
-        return opened + SCALE * (spec.estimate_s if first == "shortest" else -spec.estimate_s)
+        opened = job.submitted if plan.record is None else plan.record.opened
+        return opened + ESTIMATE_WEIGHT * (
+            spec.estimate_s if first == "shortest" else -spec.estimate_s
+        )
--- a/badgerseam/runs/run_lifecycle.py
+++ b/badgerseam/runs/run_lifecycle.py
@@ -1,10 +1,10 @@
-"""The leader's part of runs: opens, advances and closes each exactly once.
+"""The lifecycle of runs: the leader opens, advances and closes each exactly once.
 
-A run's record is a chain of writes, each on the stamp of the one before (0 for its first, which
-also names the stamp of the closed run before it) and on the stamp of the leader's claim. So of two
-leaders that decide the same, or a write of a deposed one that is applied minutes late, one
-succeeds; and a controller that slept over the close finds the run's key taken, or its stamp gone.
-Nothing is concluded from an answer: what was written, the replica tells.
+A run's record is a chain of writes, each conditional on the version of the one before (0 for its
+first, which is also conditional on the closed run before it) and on the version of the leader's
+claim. So of two leaders that decide the same, or of a deposed leader whose write is applied minutes
+late, one succeeds; and a controller that was suspended over the close finds the run's key taken, or
+another version. Nothing is concluded from an answer: the state watcher shows what was written.
 """
 
 from __future__ import annotations
@@ -13,6 +13,8 @@
 import logging
 from collections.abc import Callable
 
+from msgspec import structs
+
 from badgerseam.cluster.membership import Membership
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY, run_key
 from badgerseam.model.model import Model
@@ -25,32 +27,32 @@
 
 log = logging.getLogger("badgerseam.runs")
 
-LOOK_S = 0.5
+STEP_INTERVAL_S = 0.5
 DEADLINE_S = 5.0
-HURRY_S = 1.0
-"""A run that does not open keeps all of its members waiting: no longer behind ends of jobs."""
+MAX_WRITE_DELAY_S = 1.0
+"""How long a transition waits behind ends of jobs: until a run opens, all of its members wait."""
 
 
 class RunLifecycle:
-    """Looks at each plan, on the leader, and writes the next phase of its run."""
+    """Writes, on the leader, the next phase of each plan's run when it is due."""
 
     def __init__(
-        self, model: Model, member: Membership, committer: GroupCommitter, book: RunIndex
+        self, model: Model, member: Membership, committer: GroupCommitter, run_index: RunIndex
     ) -> None:
         self._model = model
         self._member = member
         self._committer = committer
         self._clock = model.clock
-        self.index = book
+        self.index = run_index
 
-    async def keep(self) -> None:
-        """Look for ever."""
+    async def run_forever(self) -> None:
+        """Make the transitions that are due, again and again, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
-        """One look at all plans."""
+        """Make the transition that each plan needs now, if any."""
         for plan in self.index.plans.values():
             with self._model.lock:
                 change = self._due_transition(plan)
@@ -59,17 +61,11 @@
             number, record = change
             if record.phase == "closed":
                 counts = await count(self._model, self.index, plan, number)
-                record = wire.StoredRun(
-                    "closed",
-                    record.opened,
-                    record.slot,
-                    record.closes,
-                    record.by,
-                    record.at,
-                    record.cut,
-                    counts.jobs_counted,
-                    [counts.reckoned, counts.cancelled, counts.unresolved],
-                    counts.reasons(),
+                record = structs.replace(
+                    record,
+                    seen=counts.revision,
+                    counts=[counts.reckoned, counts.cancelled, counts.unresolved],
+                    reasons=counts.reasons(),
                 )
             await self.write(plan, number, record, lambda: self._member.is_leader)
 
@@ -80,29 +76,20 @@
         record: wire.StoredRun,
         wanted: Callable[[], bool] | None = None,
     ) -> bool:
-        """Make a phase durable on the stamps of the record and all that it was decided by; whether
-        that is known to have succeeded. `wanted`: as long as it is to be sent."""
-        model = self._model
-        key = run_key(plan.plan.name, number)
-        with model.lock:
-            leader = model.leader_claim
-            if (
-                leader is None
-                or not model.is_supported
-                or number not in (plan.latest, plan.latest + 1)
-            ):
-                return False
-            conditions = {LEADER_KEY: leader.version, LEVEL_KEY: model.level.version}
-            if number > plan.latest:
-                conditions[key] = 0
-                if plan.latest:
-                    conditions[run_key(plan.plan.name, plan.latest)] = plan.version
-            else:
-                conditions[key] = plan.version
+        """Make a phase of a run durable; returns whether that is known to have succeeded.
+
+        `wanted`: the write is dropped once this is false.
+        """
+        name = plan.plan.name
+        key = run_key(name, number)
+        with self._model.lock:
+            conditions = self._conditions(plan, number)
+        if conditions is None:
+            return False
         write = wire.Write(put=key, value=wire.raw(record))
         try:
             await self._committer.commit(
-                Urgency.DONE, conditions, [write], DEADLINE_S, wanted, HURRY_S
+                Urgency.DONE, conditions, [write], DEADLINE_S, wanted, MAX_WRITE_DELAY_S
             )
         except (
             ConditionFailedError,
@@ -110,33 +97,58 @@
             ProposalDroppedError,
             LeaseExpiredError,
         ) as error:
-            log.info("run %s %d: %s not written: %r", plan.plan.name, number, record.phase, error)
+            log.info(
+                "run transition failed plan=%s run=%d phase=%s error=%r",
+                name,
+                number,
+                record.phase,
+                error,
+            )
             return False
-        log.info("run %s %d: %s%s", plan.plan.name, number, record.phase, _describe(record))
+        log.info(
+            "run transition written plan=%s run=%d phase=%s%s",
+            name,
+            number,
+            record.phase,
+            _counts_for_log(record),
+        )
         return True
 
-    # ---- what is due ----
+    def _conditions(self, plan: PlanJobs, number: int) -> dict[str, int] | None:
+        """The versions on which a run's next phase is conditional; None if it is outdated."""
+        model = self._model
+        leader = model.leader_claim
+        if leader is None or not model.is_supported:
+            return None
+        if number not in (plan.latest, plan.latest + 1):
+            return None
+        key = run_key(plan.plan.name, number)
+        conditions = {LEADER_KEY: leader.version, LEVEL_KEY: model.level.version}
+        if number == plan.latest:
+            conditions[key] = plan.version
+            return conditions
+        conditions[key] = 0
+        if plan.latest:
+            conditions[run_key(plan.plan.name, plan.latest)] = plan.version
+        return conditions
+
+    # ---- due transitions ----
 
     def _due_transition(self, plan: PlanJobs) -> tuple[int, wire.StoredRun] | None:
-        """The number and the record that the plan needs now; the lock is held."""
+        """The number of a run and its record that is to be written now; the lock is held."""
         model = self._model
         if not self._member.is_leader or not model.loaded or not self.index.is_active:
             return None
         wall = self._clock.wall()
         record, number = plan.record, plan.latest
         if record is None or record.phase == "closed":
-            slot = self._opening(plan, wall)
-            if slot is None:
-                return None
-            node = self._member.node
-            opened = wire.StoredRun(
-                "open", round(wall, 3), slot.opens, slot.closes, node, round(wall, 3)
-            )
-            return number + 1, opened
+            window = self._window_to_open(plan, wall)
+            return None if window is None else (number + 1, self._opened(window, wall))
         if record.phase == "closing":
-            # Members accepted before the cut are counted: all up to it has to be known.
-            waits = has_running_members(plan, number) and wall < record.at + plan.plan.grace_s
-            if model.revision < plan.version or waits:
+            # Members accepted before the cut are counted: all up to it has to be applied.
+            is_grace_over = wall >= record.at + plan.plan.grace_s
+            has_ended = is_grace_over or not has_running_members(plan, number)
+            if model.revision < plan.version or not has_ended:
                 return None
             return number, self._next(record, "closed", plan.version)
         if wall >= record.closes or self._is_quiet(plan, record, wall):
@@ -144,39 +156,42 @@
         if record.phase == "open" and has_begun(plan, number):
             return number, self._next(record, "reckoning")
         if record.phase == "reckoning":
-            done, aside = first_round_is_over(self.index, plan, number)
-            if done and aside:
+            is_over, deferred = first_round_is_over(self.index, plan, number)
+            if is_over and deferred:
                 return number, self._next(record, "second")
         return None
 
+    def _opened(self, window: RunWindow, wall: float) -> wire.StoredRun:
+        """The record of a run that opens now."""
+        now = round(wall, 3)
+        return wire.StoredRun("open", now, window.opens, window.closes, self._member.node, now)
+
     def closing(self, record: wire.StoredRun) -> wire.StoredRun:
-        """The record of a run that takes no more members, and starts none."""
+        """The record of a run that accepts no more members, and starts none."""
         return self._next(record, "closing")
 
     def _next(self, record: wire.StoredRun, phase: str, cut: int = 0) -> wire.StoredRun:
         wall, node = round(self._clock.wall(), 3), self._member.node
         return wire.StoredRun(phase, record.opened, record.slot, record.closes, node, wall, cut)
 
-    def _opening(self, plan: PlanJobs, wall: float) -> RunWindow | None:
-        """When the plan's next run opens and closes, if that is to be opened now."""
+    def _window_to_open(self, plan: PlanJobs, wall: float) -> RunWindow | None:
+        """The window of the plan's next run, if that is to be opened now."""
         options, last = plan.plan, plan.record
-        ahead = None if options.after is None else self.index.plans[options.after]
-        if ahead is not None and self._is_busy(ahead, wall):
+        if options.after is not None and self._is_busy(self.index.plans[options.after], wall):
             return None
         if options.quiet_s is None:
-            return due_window(
-                options, wall, None if last is None else RunWindow(last.slot, last.closes)
-            )
+            latest = None if last is None else RunWindow(last.slot, last.closes)
+            return due_window(options, wall, latest)
         if any(plan.run_number(job.queue_position) > plan.latest for job in plan.all_jobs()):
             return RunWindow(round(wall, 3), round(wall + options.longest_s, 3))
         return None
 
     def _is_busy(self, plan: PlanJobs, wall: float) -> bool:
         """Whether a plan has a run that is not closed, or one to be opened now."""
-        return plan.is_open or self._opening(plan, wall) is not None
+        return plan.is_open or self._window_to_open(plan, wall) is not None
 
     def _is_quiet(self, plan: PlanJobs, record: wire.StoredRun, wall: float) -> bool:
-        """Whether nobody has come for as long as the plan says, and all members are through."""
+        """Whether no job has arrived for the plan's `quiet_s`, and all members have finished."""
         quiet_s = plan.plan.quiet_s
         if quiet_s is None:
             return False
@@ -187,12 +202,10 @@
         return wall - max(latest, record.opened) >= quiet_s
 
 
-def _describe(record: wire.StoredRun) -> str:
+def _counts_for_log(record: wire.StoredRun) -> str:
+    """The counts of a closed run as key=value; empty for another phase."""
     if record.phase != "closed":
         return ""
-    reckoned, withdrawn, unresolved = record.counts
-    why = ", ".join(f"{name} {number}" for name, number in record.reasons.items())
-    return (
-        f", {reckoned} reckoned, {withdrawn} withdrawn, {unresolved} unresolved"
-        f"{f' ({why})' if why else ''}"
-    )
+    reckoned, cancelled, unresolved = record.counts
+    reasons = ",".join(f"{name}:{number}" for name, number in record.reasons.items())
+    return f" reckoned={reckoned} cancelled={cancelled} unresolved={unresolved} reasons={reasons}"
