--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -387,7 +387,9 @@
                 self.heartbeat_proxy.review()
                 self.worker_manager.expire_leases()
                 self.worker_manager.probe_unresponsive()
-                drain(model, None if self.replicas is None else self.replicas.keeps_on_draining)
+                drain(
+                    model, None if self.replicas is None else self.replicas.may_stay_while_draining
+                )
                 # What changes is pushed when it does; this is for what has to be tried again.
                 for own in model.shards:
                     if own.owned:
@@ -445,7 +447,7 @@
             if self.migration is not None:
                 group.create_task(self.migration.keep())
             if self.runs is not None:
-                group.create_task(self.runs.keep())
+                group.create_task(self.runs.run_forever())
             if self.attempt_log is not None:
                 group.create_task(self.attempt_log.keep())
             group.create_task(self._tick())
