--- a/badgerseam/store/client.py
+++ b/badgerseam/store/client.py
@@ -28,6 +28,10 @@
     """The state service did not execute the request, or did not answer."""
 
 
+class RateLimitedError(StateUnavailableError):
+    """The state service refused the request for its rate (status 429)."""
+
+
 class OutcomeUnknownError(StateUnavailableError):
     """No response: the request may have been executed, or may be later."""
 
@@ -103,7 +107,7 @@
         self.responses += 1
         if response.status == 429:
             self.requests.penalize(0.1)
-            raise StateUnavailableError("429")
+            raise RateLimitedError("429")
         if response.status >= 500:
             raise StateUnavailableError(str(response.status))
         self.confirmed_at = max(self.confirmed_at, sent)
--- a/badgerseam/store/job_records.py
+++ b/badgerseam/store/job_records.py
@@ -55,7 +55,7 @@
                 {key: 0},
                 [wire.Write(put=key, value=value)],
                 USER_DEADLINE_S,
-                turn=0 if self.class_of is None else self.class_of(spec),
+                priority_class=0 if self.class_of is None else self.class_of(spec),
             )
         except ConditionFailedError:
             if await self.read(spec.id) is None:
--- a/badgerseam/store/machine_records.py
+++ b/badgerseam/store/machine_records.py
@@ -193,7 +193,7 @@
                 if change.claim in refusal.failed:
                     change.future.set_exception(refusal)
                 elif not change.wanted():
-                    change.future.set_exception(ProposalDroppedError())
+                    change.future.set_exception(ProposalDroppedError([key]))
                 else:
                     again.append(change)
             if key in refusal.failed:
--- /dev/null
+++ b/badgerseam/store/transaction_batch.py
@@ -0,0 +1,68 @@
+"""Proposals that are sent as one transaction."""
+
+from __future__ import annotations
+
+from badgerseam.store.proposal import Proposal
+from badgerseam.wire.state import Condition, Write
+
+MAX_TRANSACTION_BYTES = 56 * 1024
+"""Below the 64 KiB of the state service, since the proposals' sizes are only summed up."""
+MAX_CONDITIONS_PER_WRITE = 4
+"""Conditions of a transaction, as a multiple of its maximum number of writes."""
+
+
+class TransactionBatch:
+    """Collects proposals as long as they fit into one transaction."""
+
+    def __init__(self, max_writes: int) -> None:
+        self.proposals: list[Proposal] = []
+        self._max_writes = max_writes
+        self._conditions: dict[str, int] = {}
+        self._keys: set[str] = set()
+        self._write_count = 0
+        self._size_bytes = 0
+
+    def fits(self, proposal: Proposal) -> bool:
+        """Whether the proposal may join the ones that are in the batch."""
+        return (
+            self._has_capacity_for(proposal)
+            and self._agrees_with(proposal)
+            and not self._must_be_separate(proposal)
+        )
+
+    def add(self, proposal: Proposal) -> None:
+        """Add a proposal that fits."""
+        self.proposals.append(proposal)
+        self._conditions |= proposal.conditions
+        self._keys |= proposal.keys
+        self._write_count += len(proposal.writes)
+        self._size_bytes += proposal.size_bytes
+
+    def conditions(self) -> list[Condition]:
+        """The conditions of all proposals, each key once."""
+        return [Condition(key, version) for key, version in self._conditions.items()]
+
+    def writes(self) -> list[Write]:
+        """The writes of all proposals, in order."""
+        return [write for proposal in self.proposals for write in proposal.writes]
+
+    def _has_capacity_for(self, proposal: Proposal) -> bool:
+        condition_count = len(self._conditions.keys() | proposal.conditions.keys())
+        return (
+            self._write_count + len(proposal.writes) <= self._max_writes
+            and condition_count <= MAX_CONDITIONS_PER_WRITE * self._max_writes
+            and self._size_bytes + proposal.size_bytes <= MAX_TRANSACTION_BYTES
+        )
+
+    def _agrees_with(self, proposal: Proposal) -> bool:
+        """Whether no key is written twice, or expected at two versions."""
+        return not self._keys & proposal.keys and all(
+            self._conditions.get(key, version) == version
+            for key, version in proposal.conditions.items()
+        )
+
+    def _must_be_separate(self, proposal: Proposal) -> bool:
+        if not self.proposals:
+            return False
+        # A lease that has expired fails the whole transaction, so that no other proposal joins it.
+        return proposal.has_lease or proposal.must_be_alone or self.proposals[0].must_be_alone
