--- a/badgerseam/rollout/page_refresh.py
+++ b/badgerseam/rollout/page_refresh.py
@@ -14,8 +14,8 @@
 from badgerseam.model.model import Model
 from badgerseam.store.committer import GroupCommitter
 from badgerseam.store.ledger import Ledger
+from badgerseam.store.log_compaction import count_missing_starts
 from badgerseam.store.page_rewriter import PageRewriter
-from badgerseam.store.task_log import count_missing_starts
 from badgerseam.wire.rollout import RefreshProgress
 
 MIN_RUN_S = 20.0
--- /dev/null
+++ b/badgerseam/store/task_log_writer.py
@@ -0,0 +1,295 @@
+"""Writing the task log of owned shards: placements, finished tasks and notes."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+
+from badgerseam.background import BackgroundTasks
+from badgerseam.levels.table import Behaviour
+from badgerseam.model.job import Attempt, NoteKey, Phase, Stage
+from badgerseam.model.keys import LEVEL_KEY, claim_key, page_key
+from badgerseam.model.model import Model
+from badgerseam.model.state import Page, Shard
+from badgerseam.store.client import ConditionFailedError, StateClient, StateUnavailableError
+from badgerseam.store.committer import (
+    GroupCommitter,
+    ProposalDroppedError,
+    ProposalRejectedError,
+    Urgency,
+)
+from badgerseam.store.task_log import PageTransaction, compose_refresh, compose_transaction
+from badgerseam.wire import state as wire
+
+log = logging.getLogger("badgerseam.store")
+
+REFRESH_DEADLINE_S = 1.0
+"""A refreshed page keeps the shard from writing anything else: it is given up if it has to wait."""
+READ_RETRY_S = 0.2
+"""Pause after the site's level could not be read; the state watcher may bring it meanwhile."""
+
+
+class TaskLogWriter:
+    """Writes the pages of owned shards, one transaction of a shard at a time."""
+
+    def __init__(
+        self,
+        model: Model,
+        state: StateClient,
+        committer: GroupCommitter,
+        changed: Callable[[], None],
+        resign: Callable[[Shard], None],
+    ) -> None:
+        """`changed`: called after the model has changed; `resign`: gives up a shard, with the lock
+        held."""
+        self._model = model
+        self._state = state
+        self._committer = committer
+        self._changed = changed
+        self._resign = resign
+        self._tasks = BackgroundTasks()
+        self._timer: asyncio.TimerHandle | None = None
+
+    def flush(self, shard: Shard, now: float) -> None:
+        """Write the shard's tasks, if there is anything to write and the budget allows it now.
+
+        What has to wait is not queued: it goes with all that has gathered by then. The lock is
+        held.
+        """
+        if not self._has_writes_due(shard, now):
+            return
+        urgency = Urgency.PLACE if shard.planned else Urgency.DONE
+        wait_s = self._committer.wait_s(urgency)
+        if wait_s > 0:
+            if shard.planned and self._timer is None:
+                loop = asyncio.get_running_loop()
+                self._timer = loop.call_later(wait_s + 0.001, self._on_timer)
+            return
+        transaction = compose_transaction(self._model, shard)
+        if transaction.pages:
+            self._start(shard, transaction, urgency)
+
+    def refresh(self, shard: Shard, number: int) -> bool:
+        """Write one page anew in the level's form, behind everything urgent.
+
+        False if the shard is busy with another write, or the page has no space for the form.
+        """
+        if shard.committing or not shard.owned or not self._model.is_supported:
+            return False
+        transaction = compose_refresh(self._model, shard, number)
+        if transaction is None:
+            return False
+        self._start(shard, transaction, Urgency.UPKEEP, REFRESH_DEADLINE_S)
+        return True
+
+    def _has_writes_due(self, shard: Shard, now: float) -> bool:
+        if shard.planned or any(due <= now for due in shard.completions_due.values()):
+            return True
+        return self._model.is_active(Behaviour.NOTES) and (
+            bool(shard.notes_due) or any(due <= now for due in shard.notes_deferred.values())
+        )
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        self._changed()
+
+    def _start(
+        self,
+        shard: Shard,
+        transaction: PageTransaction,
+        urgency: Urgency,
+        deadline_s: float | None = None,
+    ) -> None:
+        shard.committing = True
+        self._tasks.spawn(self._write(shard, transaction, urgency, deadline_s))
+
+    async def _write(
+        self,
+        shard: Shard,
+        transaction: PageTransaction,
+        urgency: Urgency,
+        deadline_s: float | None,
+    ) -> None:
+        term = shard.term
+        writes = [
+            wire.Write(put=key, value=wire.raw(entries))
+            for key, entries in transaction.values(shard).items()
+        ]
+        try:
+            revision = await self._committer.commit(
+                urgency,
+                transaction.conditions,
+                writes,
+                deadline_s,
+                wanted=lambda: _is_owned(shard, term),
+            )
+        except ProposalDroppedError:
+            pass
+        except ProposalRejectedError:
+            planned_jobs = {attempt.job.id for attempt in transaction.planned}
+            self._undo(shard, transaction, planned_jobs, term)
+        except StateUnavailableError:
+            log.debug("page refresh timed out shard=%d", shard.index)
+        except ConditionFailedError as error:
+            await self._on_condition_failed(shard, transaction, error, term)
+        else:
+            self._on_written(shard, transaction, revision, term)
+        finally:
+            shard.committing = False
+            self._changed()
+
+    # ---- after a commit ----
+
+    def _on_written(
+        self, shard: Shard, transaction: PageTransaction, revision: int, term: int
+    ) -> None:
+        model = self._model
+        with model.lock:
+            if not _is_owned(shard, term):
+                return
+            for number, entries in transaction.pages.items():
+                self._record_page(shard, number, Page(revision, entries))
+            for attempt in transaction.planned:
+                self._record_placement(attempt)
+            for attempt in transaction.finished:
+                if _is_current(attempt):
+                    model.forget_finished(attempt)
+            for job in {attempt.job.index: attempt.job for attempt in transaction.planned}.values():
+                if job.phase != Phase.OPEN:
+                    model.settle(job)
+
+    def _record_page(self, shard: Shard, number: int, page: Page) -> None:
+        """Take a page that was written over into the model."""
+        model = self._model
+        model.pages[shard.index][number] = page
+        key = page_key(shard.index, number)
+        model.versions[key] = max(page.version, model.versions.get(key, 0))
+        for entry in page.jobs.values():
+            job = model.job(entry.job)
+            if job is None:
+                continue
+            job.done_bits_page.update((chunk, number) for chunk, _ in entry.done)
+            for note in entry.notes:
+                note_key: NoteKey = (type(note), note.number)
+                if job.notes.get(note_key) == note:
+                    job.notes_page[note_key] = number
+
+    def _record_placement(self, attempt: Attempt) -> None:
+        """An attempt is durable: it may be launched."""
+        if not _is_current(attempt):
+            return
+        model = self._model
+        if attempt.stage == Stage.PLANNED:
+            attempt.stage = Stage.PLACED
+            attempt.job.mark_changed(attempt.task)
+            if model.accounts is not None:
+                model.accounts.on_attempt_placed(attempt)
+        model.machines_to_push.add(attempt.machine.index)
+
+    # ---- after a refusal ----
+
+    async def _on_condition_failed(
+        self,
+        shard: Shard,
+        transaction: PageTransaction,
+        error: ConditionFailedError,
+        term: int,
+    ) -> None:
+        """Find out whether an earlier sending was applied; if not, take the plan back where a job
+        has changed, and try again with the rest."""
+        if claim_key(shard.index) in error.failed:
+            with self._model.lock:
+                if _is_owned(shard, term):
+                    # Another controller owns the shard.
+                    self._resign(shard)
+            return
+        if LEVEL_KEY in error.failed:
+            await self._read_level()
+        numbers = {page_key(shard.index, number): number for number in transaction.pages}
+        job_keys = {key for key in error.failed if key != LEVEL_KEY and key not in numbers}
+        # Jobs first: where the transaction was written, tasks of one were launched that others had
+        # confirmed as cancelled since.
+        for key in [*sorted(job_keys), *(key for key in error.failed if key in numbers)]:
+            entry = await self._read_until_answered(key, shard, term)
+            if not _is_owned(shard, term):
+                return
+            if key in numbers and entry is not None:
+                content = wire.page_decoder.decode(entry.value)
+                if content == list(transaction.pages[numbers[key]].values()):
+                    self._on_written(shard, transaction, entry.version, term)
+                    return
+            self._apply_failed_key(shard, key, entry, is_page=key in numbers)
+        job_ids = {key.rpartition("/")[2] for key in job_keys}
+        if job_ids:
+            log.info("placements refused shard=%d jobs=%s", shard.index, ",".join(sorted(job_ids)))
+        self._undo(shard, transaction, job_ids, term)
+
+    def _apply_failed_key(
+        self, shard: Shard, key: str, entry: wire.Entry | None, is_page: bool
+    ) -> None:
+        with self._model.lock:
+            if entry is not None:
+                # Of a page: the claim's condition did not fail, so that nobody else wrote for the
+                # shard. It is a refresh that was given up and came late, and says nothing new; the
+                # shard was once given up for it.
+                self._model.apply(key, entry.value, entry.version)
+            elif is_page:
+                self._resign(shard)
+
+    async def _read_until_answered(self, key: str, shard: Shard, term: int) -> wire.Entry | None:
+        """A key's entry, requested until there is a response, as long as the shard is owned."""
+        failures = 0
+        while _is_owned(shard, term):
+            try:
+                return await self._state.get(key)
+            except StateUnavailableError:
+                failures += 1
+                await self._state.pause(failures)
+        return None
+
+    async def _read_level(self) -> None:
+        """The site's level has changed under a write: it is composed again in the form of now."""
+        try:
+            entry = await self._state.get(LEVEL_KEY)
+        except StateUnavailableError:
+            entry = None
+        if entry is None:
+            await asyncio.sleep(READ_RETRY_S)
+            return
+        with self._model.lock:
+            self._model.apply(entry.key, entry.value, entry.version)
+
+    def _undo(
+        self, shard: Shard, transaction: PageTransaction, job_ids: set[str], term: int
+    ) -> None:
+        """Nothing was written: the planned attempts of these jobs are given up, and the rest is
+        due again."""
+        model = self._model
+        with model.lock:
+            if not _is_owned(shard, term):
+                return
+            for attempt in transaction.planned:
+                if not _is_current(attempt):
+                    continue
+                if attempt.job.id in job_ids:
+                    model.unplace(attempt)
+                else:
+                    shard.planned.append(attempt)
+            for job, chunk in transaction.done_chunks:
+                if model.jobs[job.index] is job:
+                    job.done_bits_changed.add(chunk)
+                    shard.completions_due[job.index] = model.clock.now()
+            for job, key in transaction.notes:
+                if model.jobs[job.index] is job:
+                    job.notes_changed.add(key)
+                    shard.notes_due.add(job.index)
+
+
+def _is_owned(shard: Shard, term: int) -> bool:
+    """Whether the shard is still owned under the claim of that term."""
+    return shard.owned and shard.term == term
+
+
+def _is_current(attempt: Attempt) -> bool:
+    return attempt.job.attempts.get(attempt.task) is attempt
