--- a/badgerseam/model/job.py
+++ b/badgerseam/model/job.py
@@ -49,6 +49,9 @@
 """How long a job that waits is kept off machines on which it has failed: about what a new machine
 takes, and there may be none to be had."""
 
+GRACE_SLACK_S = 1.0
+"""Grace period beyond the time that a checkpoint takes."""
+
 
 class Stage(IntEnum):
     """How far an attempt has come."""
@@ -220,6 +223,11 @@
     def is_service(self) -> bool:
         return self.spec.kind == "standing"
 
+    @property
+    def checkpoint_grace_s(self) -> float:
+        """Seconds that a stopped attempt gets to write a checkpoint; 0 if the job writes none."""
+        return self.spec.save_s + GRACE_SLACK_S if self.spec.checkpoint_s > 0 else 0.0
+
     @property
     def is_gang(self) -> bool:
         """Its tasks run only together."""
--- a/badgerseam/model/machine.py
+++ b/badgerseam/model/machine.py
@@ -154,8 +154,19 @@
 
     @property
     def fencing_token(self) -> int:
+        """The token of the owner's commands: its term, and how often the token was raised."""
         return (self.term << BUMP_BITS) + self.token_bump
 
+    @property
+    def heartbeat_position(self) -> tuple[int, int]:
+        """Incarnation and sequence number of the newest heartbeat applied."""
+        return self.incarnation, self.sequence
+
+    def attempt_of(self, job: Job, task: int, number: int) -> Attempt | None:
+        """The attempt of a task on this machine, if it is the one with this number."""
+        attempt = self.attempts.get((job.index, task))
+        return attempt if attempt is not None and attempt.number == number else None
+
     @property
     def awaits_acknowledgement(self) -> bool:
         """It has not answered yet what has to be asked or said again until it does."""
--- a/badgerseam/workers/draining.py
+++ b/badgerseam/workers/draining.py
@@ -1,17 +1,18 @@
-"""Stopping what cannot end by itself on machines that are to be given up."""
+"""Stopping tasks that cannot complete in time on draining machines."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from badgerseam.model.job import Attempt, Stage
+from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 
 
-def drain(model: Model, keeps: Callable[[Attempt], bool] | None = None) -> None:
-    """Look at the draining machines of owned shares; called with the model's lock held.
+def drain(model: Model, is_handled: Callable[[Attempt], bool] | None = None) -> None:
+    """Stop the attempts on draining machines of owned shards; the model's lock is held.
 
-    `keeps`: whether an attempt is seen to by others for now, as a member of a replica that moves.
+    `is_handled`: whether an attempt is left to others for now, as a member of a replica that moves.
     """
     now = model.clock.now()
     for machine in model.machines.values():
@@ -20,17 +21,29 @@
         for attempt in machine.attempts.values():
             if attempt.stopping or attempt.finishing or attempt.stage == Stage.PLANNED:
                 continue
-            spec = attempt.job.spec
-            if attempt.stage == Stage.RUNNING and machine.reclaim_at is not None:
-                left = attempt.started_at + spec.estimate_s - now
-                stays = not attempt.job.is_service and spec.checkpoint_s == 0
-                if stays and now + max(left, 0.0) < machine.reclaim_at:
-                    continue
-            if keeps is not None and keeps(attempt):
+            if _completes_before_reclaim(attempt, machine, now):
                 continue
-            attempt.stopping = True
-            attempt.job.mark_changed(attempt.task)
-            machine.sched_view = None
-            attempt.stop_sent = False
-            attempt.grace_s = spec.save_s + 1.0 if spec.checkpoint_s > 0 else 0.0
-            model.machines_to_push.add(machine.index)
+            if is_handled is not None and is_handled(attempt):
+                continue
+            _stop(model, machine, attempt)
+
+
+def _completes_before_reclaim(attempt: Attempt, machine: Machine, now: float) -> bool:
+    """Whether a running attempt without checkpoints should complete before the cloud reclaims its
+    machine, so that a stop would only waste its work."""
+    if attempt.stage != Stage.RUNNING or machine.reclaim_at is None:
+        return False
+    job = attempt.job
+    if job.is_service or job.spec.checkpoint_s != 0:
+        return False
+    remaining_s = attempt.started_at + job.spec.estimate_s - now
+    return now + max(remaining_s, 0.0) < machine.reclaim_at
+
+
+def _stop(model: Model, machine: Machine, attempt: Attempt) -> None:
+    attempt.stopping = True
+    attempt.job.mark_changed(attempt.task)
+    machine.sched_view = None
+    attempt.stop_sent = False
+    attempt.grace_s = attempt.job.checkpoint_grace_s
+    model.machines_to_push.add(machine.index)
--- /dev/null
+++ b/badgerseam/workers/heartbeat_responder.py
@@ -0,0 +1,164 @@
+"""Answers to heartbeats, by what a heartbeat proves about the worker that sent it."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+from badgerseam.cluster.heartbeat_proxy import HeartbeatProxy
+from badgerseam.http.server import Reply, error_reply
+from badgerseam.model.job import Phase
+from badgerseam.model.machine import Machine
+from badgerseam.model.model import Model
+from badgerseam.wire import workers as wire
+from badgerseam.workers.command_acks import CommandAcknowledgements
+from badgerseam.workers.command_queue import MAX_COMMANDS, CommandQueue, halt_immediately
+from badgerseam.workers.heartbeats import EXITED, HeartbeatProcessor, position_of
+
+RETRY_AFTER_S = 1
+
+
+class Freshness(Enum):
+    """How a heartbeat relates to what its machine's owner knows."""
+
+    UNVERIFIED = "unverified"
+    """It may be a late copy of a heartbeat to an earlier owner."""
+    NEWER = "newer"
+    OLDER = "older"
+    """A copy, or overtaken by a newer one or by the answer to a question of ours."""
+
+
+def freshness_of(machine: Machine, heartbeat: wire.Heartbeat) -> Freshness:
+    """Classify a heartbeat of an owned machine."""
+    if not machine.is_verified_heartbeat(heartbeat.fencing_token):
+        return Freshness.UNVERIFIED
+    is_newer = position_of(heartbeat) > machine.heartbeat_position
+    return Freshness.NEWER if is_newer else Freshness.OLDER
+
+
+class HeartbeatResponder:
+    """Applies heartbeats and answers them. Callers hold the model's lock."""
+
+    def __init__(
+        self,
+        model: Model,
+        heartbeats: HeartbeatProcessor,
+        command_queue: CommandQueue,
+        heartbeat_proxy: HeartbeatProxy,
+    ) -> None:
+        self._model = model
+        self._clock = model.clock
+        self._heartbeats = heartbeats
+        self._command_queue = command_queue
+        self._command_acks = CommandAcknowledgements(model)
+        self._heartbeat_proxy = heartbeat_proxy
+
+    def answer(self, machine: Machine, heartbeat: wire.Heartbeat, freshness: Freshness) -> Reply:
+        """Answer a heartbeat as the owner of its machine."""
+        if freshness is Freshness.UNVERIFIED:
+            return self._answer_unverified(machine, heartbeat)
+        if freshness is Freshness.NEWER:
+            return self._answer_newer(machine, heartbeat)
+        return self._answer_older(machine, heartbeat)
+
+    def answer_as_proxy(self, machine: Machine, heartbeat: wire.Heartbeat) -> Reply:
+        """Renew the worker's lease for its owner; cancelled tasks are halted, nothing else is
+        commanded."""
+        if self._heartbeat_proxy.launch_may_be_delayed(machine, heartbeat):
+            # Such a launch was executed when the zones were connected again, long after the
+            # cancellation.
+            return error_reply(503, "a cancelled launch may be held back", RETRY_AFTER_S)
+        halts = [
+            halt_immediately(status)
+            for status in heartbeat.tasks
+            if status.state != EXITED and self._is_cancelled(status)
+        ]
+        return _response(heartbeat.fencing_token, halts[:MAX_COMMANDS])
+
+    def _answer_newer(self, machine: Machine, heartbeat: wire.Heartbeat) -> Reply:
+        """Apply a heartbeat, renew the lease and answer with the pending commands."""
+        now = self._clock.now()
+        self._command_acks.on_heartbeat(machine, heartbeat, now)
+        machine.mute_incarnation = 0
+        # A worker sends one heartbeat at a time, so that a newer one shows that the commands of
+        # the response before it were either executed or given up.
+        machine.response_open = False
+        self._heartbeats.apply(machine, heartbeat, direct=False)
+        if machine.unacknowledging:
+            # An answer that got through after all would renew the lease whose end is awaited.
+            return refuse_given_up()
+        machine.lease_renewed_at = max(machine.lease_renewed_at, now)
+        machine.answered_heartbeat = position_of(heartbeat)
+        self._command_acks.on_response(machine, now)
+        commands = self._command_queue.collect(machine, direct=False)
+        return _response(machine.fencing_token, commands)
+
+    def _answer_older(self, machine: Machine, heartbeat: wire.Heartbeat) -> Reply:
+        """Answer a copy, or a heartbeat that an answer to us has overtaken."""
+        if machine.unacknowledging:
+            return refuse_given_up()
+        position = position_of(heartbeat)
+        is_unanswered = position > machine.answered_heartbeat
+        if is_unanswered and heartbeat.incarnation == machine.incarnation:
+            if not machine.is_current_token(heartbeat.fencing_token):
+                return _answer_without_renewal(heartbeat)
+            # Sent before that answer came, it renews the lease no longer than from then on.
+            machine.answered_heartbeat = position
+            machine.lease_renewed_at = max(machine.lease_renewed_at, machine.last_heartbeat_at)
+        # Otherwise sent before one that was answered, or in an earlier incarnation: it renews
+        # nothing.
+        return _response(machine.fencing_token, [])
+
+    def _answer_unverified(self, machine: Machine, heartbeat: wire.Heartbeat) -> Reply:
+        """Answer the first heartbeat since the takeover, sent to us or, long ago, to an owner
+        before.
+
+        It shows which address to inspect. Taken for new, a copy in which a task had exited had it
+        placed elsewhere, although it had been launched again and ran.
+        """
+        now = self._clock.now()
+        machine.address = heartbeat.address
+        if machine.first_unverified_at is None:
+            machine.first_unverified_at = now
+        self._heartbeats.apply_completions(machine, heartbeat)
+        machine.next_push_at = 0.0
+        self._model.machines_to_push.add(machine.index)
+        if machine.attempts and now > machine.lease_renewed_at:
+            return _answer_without_renewal(heartbeat)
+        # Only the worker itself can receive these halts, and then the heartbeat is no copy.
+        halts = [
+            halt_immediately(status)
+            for status in heartbeat.tasks
+            if status.state != EXITED and not self._is_wanted(machine, status)
+        ]
+        return _response(machine.fencing_token, halts[:MAX_COMMANDS])
+
+    def _is_cancelled(self, status: wire.TaskStatus) -> bool:
+        """Whether a task's job is known as cancelled."""
+        ended = self._model.ended.get(status.task.partition("/")[0])
+        return ended is not None and ended[0] == Phase.CANCELLED
+
+    def _is_wanted(self, machine: Machine, status: wire.TaskStatus) -> bool:
+        """Whether a reported task is an attempt on its machine that is not to stop."""
+        found = self._model.find_task(status.task)
+        attempt = None if found is None else machine.attempt_of(*found, status.attempt)
+        return attempt is not None and not attempt.stopping
+
+
+def refuse_given_up() -> Reply:
+    """Refuse a heartbeat of a machine whose lease must not be renewed any more."""
+    return error_reply(503, "given up", RETRY_AFTER_S)
+
+
+def _response(token: int, commands: list[wire.Command]) -> Reply:
+    return Reply(200, wire.encode(wire.HeartbeatResponse(token, commands)))
+
+
+def _answer_without_renewal(heartbeat: wire.Heartbeat) -> Reply:
+    """Answer so that the worker's lease is not renewed.
+
+    A renewal would have to be counted, and the heartbeat may be a copy. A worker drops an answer
+    with a lower token and stays; it has been inspected before its next heartbeat.
+    """
+    if heartbeat.fencing_token == 0:
+        return error_reply(503, "not known yet", RETRY_AFTER_S)
+    return _response(heartbeat.fencing_token - 1, [])
--- a/badgerseam/workers/heartbeats.py
+++ b/badgerseam/workers/heartbeats.py
@@ -1,220 +1,257 @@
-"""Taking over what workers report."""
+"""Applying heartbeats to machines and their attempts."""
 
 from __future__ import annotations
 
 import logging
-import math
+from dataclasses import dataclass, field
 
-from badgerseam.model.job import HIGH_RANK, Attempt, Phase, Stage
+from badgerseam.model.job import HIGH_RANK, Attempt, Job, Phase, Stage
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 from badgerseam.model.resources import NOTHING, Resources, sum_of
 from badgerseam.settings import Tunables
 from badgerseam.wire import workers as wire
 from badgerseam.workers import fault_attribution
+from badgerseam.workers.inherited_evictions import repeat_evictions
 
 log = logging.getLogger("badgerseam.workers")
 
+EXITED = "exited"
+"""State of a task that is not active on its worker any more."""
+DONE = "done"
+"""Exit reason of a completed task."""
+TASK_ERROR = "error"
+"""Exit reason of a task that failed by itself."""
+NOT_STARTED_REASONS = ("no_such", "full", "in_use")
+"""Exit reasons of a task that its worker could not start."""
+
 _STAGES = {"fetching": Stage.FETCHING, "running": Stage.RUNNING, "saving": Stage.CHECKPOINTING}
 
 
+def position_of(heartbeat: wire.Heartbeat) -> tuple[int, int]:
+    """Incarnation and sequence number, by which the heartbeats of a worker are ordered."""
+    return heartbeat.incarnation, heartbeat.sequence
+
+
+@dataclass(slots=True)
+class _MatchedTasks:
+    """What the tasks of a heartbeat are to the controller."""
+
+    attempts: set[tuple[int, int]] = field(default_factory=set)
+    """Indices of the job and task of each attempt that was found."""
+    untracked_use: dict[int, Resources] = field(default_factory=dict)
+    """What active tasks without an attempt use, by team."""
+
+
 class HeartbeatProcessor:
-    """Makes machines and their tasks what reports say of them."""
+    """Updates machines and their attempts by heartbeats. Callers hold the model's lock."""
 
     def __init__(self, model: Model, tunables: Tunables) -> None:
         self._model = model
+        self._clock = model.clock
         self._tunables = tunables
 
-    def apply(self, machine: Machine, report: wire.Heartbeat, direct: bool) -> bool:
-        """Take over a report; False if it is older than what is known.
+    def apply(self, machine: Machine, heartbeat: wire.Heartbeat, direct: bool) -> bool:
+        """Apply a heartbeat; return False if it is not newer than what is known.
 
-        `direct`: it came as the response to a direct command, perhaps while the response to a
-        report is still on its way to the worker with launches in it. Any other report is one that
-        `Machine.proven` vouches for.
+        `direct`: it came as the answer to a direct command or an inspection, perhaps while the
+        response to a heartbeat is still on its way to the worker with launches in it. Any other
+        one is a heartbeat for which `Machine.is_verified_heartbeat` holds.
         """
-        mark = (report.incarnation, report.sequence)
-        if mark <= (machine.incarnation, machine.sequence):
-            # Held back on its way: its task list is as old as it is.
+        if position_of(heartbeat) <= machine.heartbeat_position:
+            # Delayed on its way: its task list is as old as it is.
             return False
-        model = self._model
-        now = self._model.clock.now()
-        if report.incarnation > machine.incarnation:
-            # The lease of a session runs from its begin. Where we hear of it by a direct answer,
-            # no report of it may have been answered yet, and the machine came up long after it
-            # was recorded: it is not to be counted as silent since then.
-            machine.lease_renewed_at = max(machine.lease_renewed_at, now)
-        first = machine.incarnation == 0
-        machine.incarnation, machine.sequence = mark
-        machine.last_heartbeat_at = now
-        machine.acknowledged_token = max(machine.acknowledged_token, report.fencing_token)
-        machine.address = report.address
-        if report.reclaim_notice_s is None:
-            machine.reclaim_at = None
-        else:
-            machine.reclaim_at = now + report.reclaim_notice_s
-            machine.draining = True
-        current = machine.settles_commands(report.fencing_token, report.incarnation)
-        shown: dict[str, wire.TaskStatus] = {}
-        strays: dict[int, Resources] = {}
-        seen: set[tuple[int, int]] = set()
-        for item in report.tasks:
-            shown[item.task] = item
-            found = model.find_task(item.task)
+        now = self._clock.now()
+        is_first = machine.incarnation == 0
+        _update_machine(machine, heartbeat, now)
+        matched = self._apply_statuses(machine, heartbeat, now)
+        machine.reported_tasks = {status.task: status for status in heartbeat.tasks}
+        self._set_untracked_use(machine, matched.untracked_use)
+        if not (direct and machine.response_open):
+            self._apply_absences(machine, heartbeat, matched.attempts)
+        if is_first:
+            repeat_evictions(self._model, machine, now)
+        return True
+
+    def apply_completions(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
+        """Apply what stays true however late a heartbeat comes: that tasks are done."""
+        for status in heartbeat.tasks:
+            if status.state != EXITED or status.exit_reason != DONE:
+                continue
+            found = self._model.find_task(status.task)
+            attempt = None if found is None else _unfinished_attempt(machine, *found, status)
+            if attempt is None or attempt.stage == Stage.PLANNED:
+                continue
+            if attempt.job.phase == Phase.OPEN:
+                self._apply_exit(machine, attempt, status, self._clock.now())
+
+    def _apply_statuses(
+        self, machine: Machine, heartbeat: wire.Heartbeat, now: float
+    ) -> _MatchedTasks:
+        """Apply the status of each reported task to its attempt."""
+        matched = _MatchedTasks()
+        for status in heartbeat.tasks:
+            found = self._model.find_task(status.task)
             if found is None:
                 continue
             job, task = found
-            attempt = machine.attempts.get((job.index, task))
-            if attempt is None or attempt.number != item.attempt or attempt.finishing:
-                if item.state != "exited":
-                    strays[job.team] = strays.get(job.team, NOTHING).plus(job.demand)
-                continue
-            seen.add((job.index, task))
-            self._update_attempt(machine, attempt, item, now)
-        machine.reported_tasks = shown
-        if strays != machine.untracked_use_by_team:
-            self._set_untracked_use(machine, strays)
+            attempt = _unfinished_attempt(machine, job, task, status)
+            if attempt is not None:
+                matched.attempts.add((job.index, task))
+                self._apply_status(machine, attempt, status, now)
+            elif status.state != EXITED:
+                team_use = matched.untracked_use.get(job.team, NOTHING)
+                matched.untracked_use[job.team] = team_use.plus(job.demand)
+        return matched
+
+    def _set_untracked_use(self, machine: Machine, use_by_team: dict[int, Resources]) -> None:
+        """Set what attempts that no record knows use on a machine, by team."""
+        if use_by_team == machine.untracked_use_by_team:
+            return
+        machine.untracked_use_by_team = use_by_team
+        machine.untracked_use = sum_of(use_by_team.values())
+        machine.sched_view = None
+        if use_by_team:
+            self._model.machines_with_untracked_use.add(machine.index)
+
+    def _apply_absences(
+        self, machine: Machine, heartbeat: wire.Heartbeat, present: set[tuple[int, int]]
+    ) -> None:
+        """Conclude from the absence of attempts in a heartbeat newer than every launch of them."""
+        is_settled = machine.settles_commands(heartbeat.fencing_token, heartbeat.incarnation)
+        position = position_of(heartbeat)
         for key, attempt in list(machine.attempts.items()):
-            if key in seen or attempt.finishing or attempt.stage == Stage.PLANNED:
+            if key in present or attempt.finishing or attempt.stage == Stage.PLANNED:
                 continue
-            if attempt.sending or mark <= attempt.sent_at_heartbeat:
+            if attempt.sending or position <= attempt.sent_at_heartbeat:
                 continue
-            if direct and machine.response_open:
-                continue
-            # Not on the machine, in a report that is newer than every launch of it.
             attempt.sent = False
             # Whatever it did before, it would begin anew.
             attempt.started_at = 0.0
-            if not current:
-                # A launch with an older token may still be in flight.
-                continue
-            attempt.job.on_launch_undone(attempt)
-            if attempt.stage >= Stage.FETCHING:
-                # It was there and is gone without a word: its session has ended.
-                attempt.stage = Stage.PLACED
-                machine.sched_view = None
-                attempt.job.mark_changed(attempt.task)
-            unfit = machine.draining or machine.is_probably_unreachable or machine.mute_incarnation
-            if attempt.stopping or unfit:
-                # Launches went there with each answer for ever, and were taken back each time.
-                model.unplace(attempt)
-        if first:
-            self._repeat_evictions(machine, now)
-        return True
+            if is_settled:
+                self._apply_absence(machine, attempt)
+            # Otherwise a launch with an older token may still be in flight.
 
-    def _set_untracked_use(self, machine: Machine, strays: dict[int, Resources]) -> None:
-        """Take over what attempts that no record knows take on a machine, by team."""
-        machine.untracked_use_by_team = strays
-        machine.untracked_use = sum_of(strays.values())
-        machine.sched_view = None
-        if strays:
-            self._model.machines_with_untracked_use.add(machine.index)
+    def _apply_absence(self, machine: Machine, attempt: Attempt) -> None:
+        """An attempt is certainly not on its machine, and no launch of it is in flight."""
+        attempt.job.on_launch_undone(attempt)
+        if attempt.stage >= Stage.FETCHING:
+            # It was there and is gone without a status: its incarnation has ended.
+            attempt.stage = Stage.PLACED
+            machine.sched_view = None
+            attempt.job.mark_changed(attempt.task)
+        is_unfit = machine.draining or machine.is_probably_unreachable or machine.mute_incarnation
+        if attempt.stopping or is_unfit:
+            # Launches were sent there with each response for ever, and were undone each time.
+            self._model.unplace(attempt)
 
-    def _repeat_evictions(self, machine: Machine, now: float) -> None:
-        """Stop whom an owner before had evicted for what it placed, if it ended in between.
+    def _apply_status(
+        self, machine: Machine, attempt: Attempt, status: wire.TaskStatus, now: float
+    ) -> None:
+        """Apply a task's status to its attempt."""
+        if attempt.stage == Stage.PLANNED:
+            return
+        if status.state == EXITED:
+            self._apply_exit(machine, attempt, status, now)
+        else:
+            _apply_active_state(machine, attempt, status.state, now)
 
-        Placements are durable, stops are not: what it had placed waited for room until tasks of
-        lower priority, of which nobody knew any more that they were to go, had ended by themselves.
-        """
-        room = machine.total.minus(machine.planned_use())
-        if machine.total == NOTHING or NOTHING.fits_in(room):
+    def _apply_exit(
+        self, machine: Machine, attempt: Attempt, status: wire.TaskStatus, now: float
+    ) -> None:
+        """An attempt has exited: its task is done, or is placed anew."""
+        self._model.shards_to_plan.add(machine.shard)
+        if status.exit_reason == DONE:
+            self._apply_completion(machine, attempt, now)
             return
-        staying = [a for a in machine.attempts.values() if not (a.stopping or a.finishing)]
-        claims = [a.job.rank for a in staying if a.stage == Stage.PLACED]
-        most = max(claims, default=0)
-        if most < HIGH_RANK:
+        if status.exit_reason == TASK_ERROR:
+            _log_failure(machine, attempt, TASK_ERROR)
+            attempt.error = True
+            is_faulty = fault_attribution.record_failure(machine, attempt, now)
+            if is_faulty and not machine.draining:
+                log.info("machine drained machine=%s reason=faulty", machine.name)
+                machine.draining = True
+        elif status.exit_reason in NOT_STARTED_REASONS:
+            _log_failure(machine, attempt, status.exit_reason)
+            attempt.job.record_failure(now, None)
+        self._model.unplace(attempt)
+
+    def _apply_completion(self, machine: Machine, attempt: Attempt, now: float) -> None:
+        """An attempt's task is done, which is to be made durable."""
+        job = attempt.job
+        if job.phase != Phase.OPEN:
+            self._model.unplace(attempt)
             return
-        victims = [
-            a for a in staying if a.stage >= Stage.FETCHING and a.job.rank < min(most, HIGH_RANK)
-        ]
-        # As in a plan, the greatest waste is spared.
-        for victim in sorted(victims, key=lambda a: (a.job.rank, _unsaved_work_s(a, now))):
-            if NOTHING.fits_in(room):
-                break
-            room = room.plus(victim.job.demand)
-            victim.stopping = True
-            victim.stop_sent = False
-            spec = victim.job.spec
-            victim.grace_s = spec.save_s + 1.0 if spec.checkpoint_s > 0 else 0.0
-            victim.job.mark_changed(victim.task)
-            log.info(
-                "%s is stopped for what an owner before placed on %s", victim.name, machine.name
-            )
+        if job.rank < HIGH_RANK and not attempt.finishing:
+            self._model.shards[machine.shard].finished += 1
+        machine.images.add(job.spec.image)
+        fault_attribution.record_completion(machine, job)
+        self._model.finish(attempt, now + self._tunables.done_delay_s)
+
+
+def _update_machine(machine: Machine, heartbeat: wire.Heartbeat, now: float) -> None:
+    """Apply what a heartbeat shows of the worker itself."""
+    if heartbeat.incarnation > machine.incarnation:
+        # The lease of an incarnation runs from its begin. Where we learn of it by a direct answer,
+        # no heartbeat of it may have been answered yet, and the machine came up long after it was
+        # recorded: it is not to be counted as silent since then.
+        machine.lease_renewed_at = max(machine.lease_renewed_at, now)
+    machine.incarnation, machine.sequence = position_of(heartbeat)
+    machine.last_heartbeat_at = now
+    machine.acknowledged_token = max(machine.acknowledged_token, heartbeat.fencing_token)
+    machine.address = heartbeat.address
+    if heartbeat.reclaim_notice_s is None:
+        machine.reclaim_at = None
+    else:
+        machine.reclaim_at = now + heartbeat.reclaim_notice_s
+        machine.draining = True
+
+
+def _unfinished_attempt(
+    machine: Machine, job: Job, task: int, status: wire.TaskStatus
+) -> Attempt | None:
+    """The attempt that a status is about, if it is on the machine and not seen to complete."""
+    attempt = machine.attempt_of(job, task, status.attempt)
+    return None if attempt is None or attempt.finishing else attempt
+
+
+def _apply_active_state(machine: Machine, attempt: Attempt, state: str, now: float) -> None:
+    """An attempt is on its machine, in a state other than exited."""
+    job = attempt.job
+    attempt.last_seen_at = now
+    stage = _STAGES.get(state, Stage.RUNNING)
+    if stage == Stage.FETCHING:
+        # Launched again after its incarnation had ended: what was known of its start is past.
+        attempt.started_at = 0.0
+    if stage == Stage.RUNNING:
+        if attempt.stage < Stage.RUNNING:
+            _record_start(machine, attempt, now)
+        else:
+            fault_attribution.record_steady_run(attempt, now)
+    if attempt.stage != stage:
+        attempt.stage = stage
         machine.sched_view = None
-        self._model.machines_to_push.add(machine.index)
+        job.mark_changed(attempt.task)
+    attempt.sent = True
+    job.on_launch_sent(attempt)
 
-    def apply_completions(self, machine: Machine, report: wire.Heartbeat) -> None:
-        """Take over what stays true however late a report comes: that tasks are done."""
-        for item in report.tasks:
-            found = self._model.find_task(item.task)
-            if found is None or item.state != "exited" or item.exit_reason != "done":
-                continue
-            attempt = machine.attempts.get((found[0].index, found[1]))
-            if attempt is None or attempt.number != item.attempt or attempt.finishing:
-                continue
-            if attempt.stage != Stage.PLANNED and attempt.job.phase == Phase.OPEN:
-                self._update_attempt(machine, attempt, item, self._model.clock.now())
 
-    def _update_attempt(
-        self, machine: Machine, attempt: Attempt, item: wire.TaskStatus, now: float
-    ) -> None:
-        model = self._model
-        job = attempt.job
-        if attempt.stage == Stage.PLANNED:
-            return
-        if item.state != "exited":
-            attempt.last_seen_at = now
-            stage = _STAGES.get(item.state, Stage.RUNNING)
-            if stage == Stage.FETCHING:
-                # Given once more after its session had ended: what was known of its start is past.
-                attempt.started_at = 0.0
-            if stage == Stage.RUNNING and attempt.stage < Stage.RUNNING:
-                # An owner before us may have seen it begin, and kept that with its row.
-                attempt.started_at = attempt.started_at or now
-                attempt.unseen = False
-                log.debug(
-                    "%s (%s) runs on %s: seen %.2f s ago, planned %.2f s ago",
-                    attempt.name,
-                    job.spec.job_class,
-                    machine.name,
-                    now - job.last_seen_at,
-                    now - attempt.planned_at,
-                )
-                machine.images.add(job.spec.image)
-            elif stage == Stage.RUNNING:
-                fault_attribution.record_steady_run(attempt, now)
-            if attempt.stage != stage:
-                attempt.stage = stage
-                machine.sched_view = None
-                job.mark_changed(attempt.task)
-            attempt.sent = True
-            job.on_launch_sent(attempt)
-            return
-        model.shards_to_plan.add(machine.shard)
-        shard = model.shards[machine.shard]
-        if item.exit_reason == "done":
-            if job.phase != Phase.OPEN:
-                model.unplace(attempt)
-                return
-            if job.rank < 2 and not attempt.finishing:
-                shard.finished += 1
-            machine.images.add(job.spec.image)
-            fault_attribution.record_completion(machine, job)
-            model.finish(attempt, now + self._tunables.done_delay_s)
-            return
-        if item.exit_reason in ("error", "no_such", "full", "in_use"):
-            log.debug("%s failed on %s: %s", attempt.name, machine.name, item.exit_reason)
-            if item.exit_reason != "error":
-                job.record_failure(now, None)
-            else:
-                attempt.error = True
-                if fault_attribution.record_failure(machine, attempt, now) and not machine.draining:
-                    log.info("%s fails the tasks of many jobs: drained", machine.name)
-                    machine.draining = True
-        model.unplace(attempt)
-
-
-def _unsaved_work_s(attempt: Attempt, now: float) -> float:
-    """Seconds of work that are lost if it is stopped, by the interval of its checkpoints."""
-    ran_s = now - attempt.started_at if attempt.started_at > 0 else 0.0
-    interval_s = attempt.job.spec.checkpoint_s
-    return math.fmod(ran_s, interval_s) if interval_s > 0 else ran_s
+def _record_start(machine: Machine, attempt: Attempt, now: float) -> None:
+    """An attempt is seen to run for the first time."""
+    job = attempt.job
+    # An owner before us may have seen it begin, and stored that with its row.
+    attempt.started_at = attempt.started_at or now
+    attempt.unseen = False
+    log.debug(
+        "task started task=%s class=%s machine=%s since_job_seen_s=%.2f since_planned_s=%.2f",
+        attempt.name,
+        job.spec.job_class,
+        machine.name,
+        now - job.last_seen_at,
+        now - attempt.planned_at,
+    )
+    machine.images.add(job.spec.image)
+
+
+def _log_failure(machine: Machine, attempt: Attempt, reason: str) -> None:
+    log.debug("task failed task=%s machine=%s reason=%s", attempt.name, machine.name, reason)
--- /dev/null
+++ b/badgerseam/workers/inherited_evictions.py
@@ -0,0 +1,63 @@
+"""Evictions that an earlier owner of a machine had decided and could not complete."""
+
+from __future__ import annotations
+
+import logging
+import math
+
+from badgerseam.model.job import HIGH_RANK, Attempt, Stage
+from badgerseam.model.machine import Machine
+from badgerseam.model.model import Model
+from badgerseam.model.resources import NOTHING
+
+log = logging.getLogger("badgerseam.workers")
+
+
+def repeat_evictions(model: Model, machine: Machine, now: float) -> None:
+    """Stop the attempts that an earlier owner had evicted for what it placed, if it ended between.
+
+    Placements are durable, stops are not: what it had placed waited for resources until tasks of
+    lower priority, of which no controller knew any more that they were to stop, had completed.
+    """
+    free = machine.total.minus(machine.planned_use())
+    if machine.total == NOTHING or NOTHING.fits_in(free):
+        return
+    staying = [
+        attempt
+        for attempt in machine.attempts.values()
+        if not (attempt.stopping or attempt.finishing)
+    ]
+    waiting_rank = max(
+        (attempt.job.rank for attempt in staying if attempt.stage == Stage.PLACED), default=0
+    )
+    if waiting_rank < HIGH_RANK:
+        return
+    victims = [
+        attempt
+        for attempt in staying
+        if attempt.stage >= Stage.FETCHING and attempt.job.rank < HIGH_RANK
+    ]
+    # As in a plan, the attempts that would lose most work are spared.
+    victims.sort(key=lambda attempt: (attempt.job.rank, _unsaved_work_s(attempt, now)))
+    for victim in victims:
+        if NOTHING.fits_in(free):
+            break
+        free = free.plus(victim.job.demand)
+        _stop(victim)
+        log.info("eviction repeated task=%s machine=%s", victim.name, machine.name)
+    machine.sched_view = None
+    model.machines_to_push.add(machine.index)
+
+
+def _stop(attempt: Attempt) -> None:
+    attempt.stopping = True
+    attempt.stop_sent = False
+    attempt.grace_s = attempt.job.checkpoint_grace_s
+    attempt.job.mark_changed(attempt.task)
+
+
+def _unsaved_work_s(attempt: Attempt, now: float) -> float:
+    """Seconds of work that a stop would lose, by the interval of its checkpoints."""
+    ran_s = now - attempt.started_at if attempt.started_at > 0 else 0.0
+    interval_s = attempt.job.spec.checkpoint_s
+    return math.fmod(ran_s, interval_s) if interval_s > 0 else ran_s
--- a/badgerseam/workers/inspection.py
+++ b/badgerseam/workers/inspection.py
@@ -1,4 +1,4 @@
-"""Asking workers for their state, and whether it is known where they are."""
+"""Asking workers for their state, and whether their addresses are known."""
 
 from __future__ import annotations
 
@@ -12,15 +12,19 @@
 
 log = logging.getLogger("badgerseam.workers")
 
+INSPECT_DEADLINE_S = 1.0
+
 
 async def inspect(http: HttpClient, address: str, deadline_s: float) -> wire.Heartbeat | None:
-    """The report of the worker at an address; None if there is none within the deadline, or what
-    answers is no worker. It renews no lease."""
+    """Return the heartbeat of the worker at an address, without renewing its lease.
+
+    None if no worker answers there within the deadline, in seconds.
+    """
     try:
         response = await http.request(address, "GET", "/inspect", None, deadline_s)
         return wire.heartbeat_decoder.decode(response.body) if response.status == 200 else None
     except (NoResponseError, msgspec.DecodeError):
-        log.debug("%s cannot be inspected", address)
+        log.debug("inspection failed address=%s", address)
         return None
 
 
--- /dev/null
+++ b/badgerseam/workers/unregistered.py
@@ -0,0 +1,45 @@
+"""Workers whose machine has no record: inspected once, so that the leader can adopt the machine."""
+
+from __future__ import annotations
+
+from badgerseam.background import BackgroundTasks
+from badgerseam.cluster.membership import Membership
+from badgerseam.http.client import HttpClient
+from badgerseam.model.model import Model
+from badgerseam.wire import workers as wire
+from badgerseam.workers.inspection import INSPECT_DEADLINE_S, inspect
+
+
+class UnregisteredWorkers:
+    """Inspects unregistered workers while this controller is leader."""
+
+    def __init__(self, model: Model, member: Membership, http: HttpClient) -> None:
+        self._model = model
+        self._member = member
+        self._http = http
+        self._tasks = BackgroundTasks()
+        self._inspecting: set[str] = set()
+        """Names of machines with an inspection under way."""
+
+    def on_heartbeat(self, heartbeat: wire.Heartbeat) -> None:
+        """Start to inspect the worker; the model's lock is held.
+
+        Only a machine that has answered itself is adopted: late copies of a released machine's
+        heartbeats came to a leader that had not seen its record removed, which recorded it again
+        and searched for it in vain.
+        """
+        name = heartbeat.machine
+        if (
+            name not in self._model.removed_machines
+            and name not in self._inspecting
+            and self._member.is_leader
+        ):
+            self._inspecting.add(name)
+            self._tasks.spawn(self._inspect(name, heartbeat.address))
+
+    async def _inspect(self, name: str, address: str) -> None:
+        heartbeat = await inspect(self._http, address, INSPECT_DEADLINE_S)
+        with self._model.lock:
+            self._inspecting.discard(name)
+            if heartbeat is not None and heartbeat.machine == name and self._member.is_leader:
+                self._model.unregistered[name] = heartbeat
