--- a/badgerseam/classes/class_record.py
+++ b/badgerseam/classes/class_record.py
@@ -77,7 +77,7 @@
         self._committer = committer
         self._clock = model.clock
         self._options = options
-        self.digest = member.classes_digest = digest_of(options)
+        self.digest = member.registration.classes_digest = digest_of(options)
         self._writing = False
         self._not_before = -1e9
         self._told: tuple[Objection, ...] = ()
--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -403,7 +403,7 @@
             f"{self.settings.node}-{random.getrandbits(64):x}",
             self.fleet.scale_out.blocked,
         )
-        self.membership.takeover_checks = standby
+        self.membership.claim_policy.takeover_checks = standby
         self.heartbeat_proxy.leases_may_end_early = True
         self.peers.standby = standby.handle
         self.worker_manager.on_redirected_worker = standby.failure_detector.on_redirected_worker
--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -183,7 +183,7 @@
     def _clear(self, name: str, line: PeerState) -> None:
         line.refused = 0
         line.suspicion = None
-        self._member.suspected.discard(name)
+        self._member.registration.suspected.discard(name)
 
     def _recognize(self, name: str, line: PeerState, process: str) -> None:
         """Who answers: the process of before, or one that was started anew."""
@@ -222,7 +222,7 @@
             if asked and self._answered.get(name) != held.version:
                 self._answered[name] = held.version
                 log.info("%s takes us for ended: our own record says that we are not", name)
-                self._member.announce_again()
+                self._member.registration.write_again()
 
     # ---- suspecting ----
 
@@ -296,15 +296,15 @@
             return
         if case.summons_sent == 0:
             case.summons_sent = own.version
-            self._member.suspected.add(name)
-            self._member.announce_again()
+            self._member.registration.suspected.add(name)
+            self._member.registration.write_again()
         elif case.shown_at is None and own.version > case.summons_sent:
             if name in own.record.suspected:
                 case.shown_at = now
             else:
                 # Written by the way, before it was to name it.
                 case.summons_sent = own.version
-                self._member.announce_again()
+                self._member.registration.write_again()
 
     async def _revoke_lease(self, name: str, line: PeerState, case: Suspicion) -> None:
         took_s = self._clock.now() - line.first_at
--- a/badgerseam/standby/takeover_gate.py
+++ b/badgerseam/standby/takeover_gate.py
@@ -16,6 +16,7 @@
 from enum import Enum
 
 from badgerseam.cluster.membership import Membership
+from badgerseam.cluster.previous_owner import previous_owner_bound_s
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.model import Model
 from badgerseam.model.state import ObservedClaim, Shard
@@ -105,7 +106,7 @@
             Check(
                 "owners before are counted",
                 lambda shard, held: shard is None
-                or member.previous_owner_bound_s(shard, held) is not None,
+                or previous_owner_bound_s(model, shard, held) is not None,
                 Outcome.RECLAIM,
                 leader=False,
             ),
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from badgerseam.cluster.availability import UnavailableReason
-from badgerseam.cluster.membership import STEADY_S, Membership
+from badgerseam.cluster.claim_policy import STEADY_S
+from badgerseam.cluster.membership import Membership
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.model import Model
 from badgerseam.model.state import ObservedClaim, Shard
