--- a/badgerseam/classes/class_record.py
+++ b/badgerseam/classes/class_record.py
@@ -87,7 +87,7 @@
         self._committer = committer
         self._clock = model.clock
         self._options = options
-        self.digest = member.classes_digest = digest_of(options)
+        self.digest = member.registration.classes_digest = digest_of(options)
         self._writing = False
         self._retry_at = -math.inf
         self._logged_objections: tuple[Objection, ...] = ()
