--- a/badgerseam/cli/lab.py
+++ b/badgerseam/cli/lab.py
@@ -159,7 +159,7 @@
     from badgerseam.clock import Clock
     from badgerseam.lab.control_endpoint import ControlEndpoint
     from badgerseam.lab.fault_injector import FaultInjector
-    from badgerseam.lab.lab import Lab, free_ports, read_card
+    from badgerseam.lab.lab import Lab, free_ports, read_running_lab
     from badgerseam.lab.site import load_site
 
     logs.configure("error")
@@ -175,27 +175,27 @@
         await lab.start()
     except BaseException:
         # Another lab's files are left alone; it holds the lock.
-        if lab.started:
+        if lab.has_started:
             _clean(options.dir)
         raise
     control = ControlEndpoint(lab, FaultInjector(lab))
     try:
         port = free_ports(1)[0]
         control.listen(port)
-        card = read_card(options.dir) | {"control": f"127.0.0.1:{port}"}
+        card = read_running_lab(options.dir) | {"control": f"127.0.0.1:{port}"}
         (options.dir / "lab.json").write_text(json.dumps(card))
-        print(f"users      127.0.0.1:{lab.front_port}   (--node of the commands)")
+        print(f"users      127.0.0.1:{lab.load_balancer_port}   (--node of the commands)")
         for node, address in lab.addresses.items():
             print(f"{node:<10} {address}   log {lab.controllers[node].log_path}")
         print(f"state service, cloud and workers are simulated; files in {options.dir}")
-        waiting = asyncio.ensure_future(lab.ready())
+        waiting = asyncio.ensure_future(lab.wait_until_ready())
         stopping = asyncio.ensure_future(stop.wait())
         await asyncio.wait({waiting, stopping}, return_when=asyncio.FIRST_COMPLETED)
         if waiting.done():
             waiting.result()
             print("ready; Ctrl-C ends it", flush=True)
             if options.load is not None:
-                lab.begin_load(options.load)
+                lab.start_load(options.load)
             seen = 0
             while not stop.is_set():
                 for note in lab.notes[seen:]:
@@ -290,7 +290,7 @@
     _print_report(report, console)
     console.print("written: " + ", ".join(str(path) for path in paths), soft_wrap=True)
     faults = report.accounts.faults if report.accounts is not None else []
-    failed = report.breaches or report.served.failures or faults
+    failed = report.violations or report.served.failures or faults
     return EXIT_FAILED if failed else EXIT_OK
 
 
@@ -307,9 +307,9 @@
             name,
             str(figures.jobs),
             str(figures.ended),
-            f"{figures.tasks_started}+{figures.again}",
+            f"{figures.tasks_started}+{figures.restarts}",
             " / ".join(f"{value:.2f}" for value in figures.first_start_s),
-            "" if figures.in_time is None else f"{figures.in_time:.3f}",
+            "" if figures.on_time_fraction is None else f"{figures.on_time_fraction:.3f}",
         )
     console.print(table)
     served = report.served
@@ -324,17 +324,18 @@
         table.add_row(name, *largest_cells(big))
     console.print(table)
     console.print(
-        f"accepted within {' / '.join(f'{v:.3f}' for v in report.accept_s)} s; "
-        f"{report.polls_failed} of {report.polls} polls failed; {report.machines_rented} machines, "
-        f"{report.money:.3f} spent; {report.controllers_started} controller starts, "
-        f"{report.ended_by_themselves} ends by themselves"
+        f"accepted within {' / '.join(f'{v:.3f}' for v in report.acceptance_s)} s; "
+        f"{report.failed_polls} of {report.polls} polls failed; {report.machines_rented} machines, "
+        f"{report.cost:.3f} spent; {report.controllers_started} controller starts, "
+        f"{report.crashes} ends by themselves"
     )
-    if report.questions:
+    if report.explain_statuses:
         console.print(
-            f"questions by status {report.questions}; answered within "
-            f"{' / '.join(f'{v:.3f}' for v in report.answer_s)} s; reasons {report.reasons}"
+            f"questions by status {report.explain_statuses}; answered within "
+            f"{' / '.join(f'{v:.3f}' for v in report.explain_latency_s)} s; "
+            f"reasons {report.reasons}"
         )
-    gaps = sorted(report.vacant_s)
+    gaps = sorted(report.ownership_gaps_s)
     console.print(
         f"level {report.level}; shares or leadership without an actor {len(gaps)} times, for "
         f"{gaps[len(gaps) // 2] if gaps else 0:.2f} s (median), {gaps[-1] if gaps else 0:.2f} s "
@@ -355,32 +356,32 @@
     if report.below_limit_s:
         teams = ", ".join(f"{team} {s:.0f} s" for team, s in report.below_limit_s.items())
         console.print(f"work waited beside room that its team was allowed: {teams}")
-    if report.silent:
-        console.print(f"unanswered at the end, not judged: {', '.join(report.silent)}")
-    if report.jumps:
+    if report.unanswered:
+        console.print(f"unanswered at the end, not judged: {', '.join(report.unanswered)}")
+    if report.inversions:
         console.print(
-            f"jumps: {len(report.jumps)}, past work that had waited for at most "
-            f"{report.longest_jump_s:.1f} s; the first ones:"
+            f"jumps: {len(report.inversions)}, past work that had waited for at most "
+            f"{report.longest_inversion_s:.1f} s; the first ones:"
         )
-        for text in report.jumps[:SHOWN]:
+        for text in report.inversions[:SHOWN]:
             console.print(text)
     console.print(f"failures by what was served: {len(served.failures)}")
     for text in served.failures:
         console.print(text)
     console.print(f"starts after a confirmed cancellation: {report.started_cancelled}")
-    console.print(f"jobs accepted that can't run or lack a field: {report.accepted_odd}")
-    console.print(f"older answers to questions that were on their way: {report.overtaken}")
-    console.print(f"broken rules: {len(report.breaches)}")
-    for breach in report.breaches:
+    console.print(f"jobs accepted that can't run or lack a field: {report.accepted_invalid}")
+    console.print(f"older answers to questions that were on their way: {report.stale_answers}")
+    console.print(f"broken rules: {len(report.violations)}")
+    for breach in report.violations:
         console.print(breach)
 
 
 async def _order(options: argparse.Namespace) -> int:
     """Send an order to the running lab."""
     from badgerseam.http.client import HttpClient, NoResponseError
-    from badgerseam.lab.lab import LabError, read_card
+    from badgerseam.lab.lab import LabError, read_running_lab
 
-    address = read_card(options.dir).get("control")
+    address = read_running_lab(options.dir).get("control")
     if not isinstance(address, str):
         raise LabError(f"no lab runs in {options.dir}: start one with `badgerseam lab up`")
     body: bytes | None = b"{}"
--- a/badgerseam/lab/control_endpoint.py
+++ b/badgerseam/lab/control_endpoint.py
@@ -22,9 +22,9 @@
 class ControlEndpoint:
     """Serves status, faults, load and judgement."""
 
-    def __init__(self, lab: Lab, breaker: FaultInjector) -> None:
+    def __init__(self, lab: Lab, fault_injector: FaultInjector) -> None:
         self._lab = lab
-        self._breaker = breaker
+        self._fault_injector = fault_injector
         self._server = HttpServer(self._handle)
 
     def listen(self, port: int) -> None:
@@ -42,9 +42,9 @@
             if method == "POST" and uri == "/fault":
                 return self._fault(body)
             if method == "POST" and uri == "/mend":
-                return _json(self._breaker.mend_all())
+                return _json(self._fault_injector.mend_all())
             if method == "POST" and uri == "/load":
-                self._lab.begin_load(max(0.0, _load.decode(body).factor))
+                self._lab.start_load(max(0.0, _load.decode(body).factor))
                 return _json("users submit jobs")
         except (LabError, msgspec.DecodeError) as error:
             return Reply(400, msgspec.json.encode({"error": str(error)}))
@@ -55,7 +55,7 @@
             fault = fault_decoder.decode(body)
         except msgspec.DecodeError as error:
             raise LabError(f"{error}; there are: {', '.join(FAULT_KINDS)}") from error
-        return _json(self._breaker.apply(fault))
+        return _json(self._fault_injector.apply(fault))
 
 
 def _json(value: object) -> Reply:
--- a/badgerseam/lab/demo.py
+++ b/badgerseam/lab/demo.py
@@ -27,7 +27,7 @@
         while lab.clock.now() < until:
             try:
                 response = await http.request(
-                    f"127.0.0.1:{lab.front_port}", method, path, body, 5.0
+                    f"127.0.0.1:{lab.load_balancer_port}", method, path, body, 5.0
                 )
                 if response.status in (200, 201):
                     return response
@@ -52,7 +52,7 @@
         return explain.why_decoder.decode(response.body)
 
     breaker = FaultInjector(lab)
-    await lab.ready()
+    await lab.wait_until_ready()
     say("The site is up: 3 controllers, no machine yet, and the cloud has none to rent.")
     breaker.apply(Fault("no-capacity"))
     team = lab.site.teams[0].name
--- a/badgerseam/lab/experiment.py
+++ b/badgerseam/lab/experiment.py
@@ -84,10 +84,10 @@
 
 async def play(lab: Lab, experiment: Experiment, told: Callable[[float, str], None]) -> Report:
     """Play an experiment on a lab that has been started; `told` hears of the progress (0 to 1)."""
-    await lab.ready()
+    await lab.wait_until_ready()
     breaker = FaultInjector(lab)
     samples: list[Sample] = []
-    lab.begin_load(experiment.load)
+    lab.start_load(experiment.load)
     begun = lab.history.now()
     whole = experiment.seconds + experiment.settle_s
     steps = sorted(experiment.steps, key=lambda step: step.at)
@@ -133,4 +133,6 @@
         counts = machine.core.inspect()
         running += counts.get("running", 0) + counts.get("saving", 0)
         waiting += counts.get("fetching", 0)
-    samples.append(Sample(round(t, 2), len(lab.machines), running, waiting, len(lab.front.healthy)))
+    samples.append(
+        Sample(round(t, 2), len(lab.machines), running, waiting, len(lab.load_balancer.healthy))
+    )
--- a/badgerseam/lab/explain_load.py
+++ b/badgerseam/lab/explain_load.py
@@ -48,7 +48,7 @@
         while True:
             await asyncio.sleep(0.02)
             due = min(due + 0.02 * self._per_s, self._per_s)
-            jobs = list(lab.front.truths)[-200:]
+            jobs = list(lab.load_balancer.true_behaviours)[-200:]
             while due >= 1 and jobs and len(self._tasks) < MAX_IN_FLIGHT:
                 due -= 1
                 self._tasks.spawn(self._one(lab.random.choice(jobs)))
--- a/badgerseam/lab/fault.py
+++ b/badgerseam/lab/fault.py
@@ -42,9 +42,9 @@
     "odd-requests",
 ]
 FAULT_KINDS: tuple[str, ...] = FaultKind.__args__  # type: ignore[attr-defined]
-NOT_A_FAILURE = ("burst", "cancel-at-end", "odd-requests", "close-looks")
+HARMLESS_KINDS = ("burst", "cancel-at-end", "odd-requests", "close-looks")
 """What users do, however much it is."""
-LINKED = ("cut", "refused", "lossy", "slow", "late")
+LINK_FAULT_KINDS = ("cut", "refused", "lossy", "slow", "late")
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
--- a/badgerseam/lab/late_commands.py
+++ b/badgerseam/lab/late_commands.py
@@ -19,17 +19,17 @@
     def __init__(self, random: Random) -> None:
         self._random = random
         self._tasks = BackgroundTasks()
-        self.part = 0.0
+        self.fraction = 0.0
         """Of the direct commands that are held up, from 0 to 1."""
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """How many have not been carried out yet."""
         return len(self._tasks)
 
     def chosen(self) -> bool:
         """Whether the next command is held up."""
-        return self._random.random() < self.part
+        return self._random.random() < self.fraction
 
     def hold_up(
         self, execute: Callable[[], Coroutine[object, object, Reply]]
--- a/badgerseam/lab/load.py
+++ b/badgerseam/lab/load.py
@@ -151,7 +151,7 @@
         spec, truth = make_job(job_class, number, self._random)
         if batch:
             spec = msgspec.structs.replace(spec, id=f"job-{number}", terms=self._terms(spec.tasks))
-        self._front.truths[spec.id] = truth
+        self._front.true_behaviours[spec.id] = truth
         self.submitted += 1
         if not await self._insist("/submissions", msgspec.json.encode(spec), (200, 201)):
             self.given_up += 1
--- a/badgerseam/lab/load_balancer.py
+++ b/badgerseam/lab/load_balancer.py
@@ -47,10 +47,10 @@
         self._failures = dict.fromkeys(nodes, 2)
         self._turn = 0
         self._specs: dict[str, wire.Submission] = {}
-        self.truths: dict[str, TrueBehaviour] = {}
+        self.true_behaviours: dict[str, TrueBehaviour] = {}
         self.phases: dict[str, str] = {}
         """What was last said of each job."""
-        self.on_told: Callable[[str, int, str], None] | None = None
+        self.on_answer: Callable[[str, int, str], None] | None = None
         """Called with job, status and phase of each answer, once it is in the history."""
         self._server: HttpServer | None = None
         self._probes: asyncio.Task[None] | None = None
@@ -98,7 +98,7 @@
         spec = self._specs.get(task.partition("/")[0])
         if spec is None:
             return None
-        truth = self.truths.get(spec.id) or TrueBehaviour()
+        truth = self.true_behaviours.get(spec.id) or TrueBehaviour()
         run_s = spec.estimate_s if truth.run_s is None else truth.run_s
         return Description(
             Resources(spec.cpus, spec.gpus, spec.memory_gb),
@@ -147,8 +147,8 @@
                 phase=phase,
                 asked=round(asked, PLACES),
             )
-            if self.on_told is not None:
-                self.on_told(job, reply.status, phase)
+            if self.on_answer is not None:
+                self.on_answer(job, reply.status, phase)
         return reply
 
     def _note_request(self, method: str, path: str, body: bytes) -> tuple[str, str]:
--- a/badgerseam/lab/machines.py
+++ b/badgerseam/lab/machines.py
@@ -96,7 +96,7 @@
         self.core.hung = True
         self._running.clear()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Go on after a hang: what came meanwhile is executed if it is still valid."""
         self.core.advance()
         self.core.hung = False
--- a/badgerseam/lab/next_leader_heartbeats.py
+++ b/badgerseam/lab/next_leader_heartbeats.py
@@ -44,7 +44,7 @@
         self._deliveries = BackgroundTasks()
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """How many copies are kept or on their way."""
         return len(self._kept) + len(self._deliveries)
 
--- a/badgerseam/lab/reconcile.py
+++ b/badgerseam/lab/reconcile.py
@@ -43,7 +43,7 @@
 
 async def compare_with_accounts(lab: Lab) -> AccountingComparison | None:
     """Compare, from the accounts of any controller; None if none are kept."""
-    batch = BatchClient(ServiceClient(f"127.0.0.1:{lab.front_port}", 20.0))
+    batch = BatchClient(ServiceClient(f"127.0.0.1:{lab.load_balancer_port}", 20.0))
     try:
         lines = [line async for line in batch.accounting({})]
     except RefusedError:
--- a/badgerseam/lab/served.py
+++ b/badgerseam/lab/served.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class _JobState:
+class _ServedJob:
     spec: Submission
     since: float
     accepted: bool = False
@@ -138,7 +138,7 @@
         """`aside`: jobs that cannot be served, submitted with a mistake."""
         self._limits: Mapping[str, tuple[float, float]] = {t.name: t.limits for t in teams}
         self._aside = aside
-        self._jobs: dict[str, _JobState] = {}
+        self._jobs: dict[str, _ServedJob] = {}
         self._on: dict[tuple[str, str], _Run] = {}
 
     def on_event(self, event: Event) -> None:
@@ -146,7 +146,7 @@
         name = event.job.partition("/")[0]
         job = self._jobs.get(name)
         if event.kind == "submit" and event.spec is not None and job is None:
-            self._jobs[name] = _JobState(msgspec.convert(event.spec, Submission), event.t)
+            self._jobs[name] = _ServedJob(msgspec.convert(event.spec, Submission), event.t)
         elif job is None:
             return
         elif event.kind == "abort":
@@ -168,9 +168,9 @@
     def table(self, t: float) -> Served:
         """What was served by a time, at which the day is over."""
         jobs = [job for name, job in self._jobs.items() if name not in self._aside]
-        by_class: dict[str, list[_JobState]] = {}
-        by_team: dict[str, list[_JobState]] = {}
-        by_shape: dict[str, list[_JobState]] = {}
+        by_class: dict[str, list[_ServedJob]] = {}
+        by_team: dict[str, list[_ServedJob]] = {}
+        by_shape: dict[str, list[_ServedJob]] = {}
         for job in jobs:
             spec = job.spec
             by_class.setdefault(spec.job_class, []).append(job)
@@ -184,7 +184,7 @@
         largest = {name: self._largest(of, t) for name, of in sorted(by_shape.items())}
         return Served(classes, teams, largest, list(_failures(classes, teams, largest)))
 
-    def _largest(self, jobs: list[_JobState], t: float) -> Largest:
+    def _largest(self, jobs: list[_ServedJob], t: float) -> Largest:
         sizes = Counter(job.size for job in jobs)
         least, count = 0.0, 0
         for size in sorted(sizes, reverse=True):
@@ -228,7 +228,7 @@
         return max(1, int(most))
 
 
-def _row(jobs: list[_JobState], t: float) -> Row | None:
+def _row(jobs: list[_ServedJob], t: float) -> Row | None:
     parts = [part for job in jobs if (part := job.served(t)) is not None]
     return Row(len(parts), round(sum(parts) / len(parts), 4)) if parts else None
 
--- a/badgerseam/lab/services.py
+++ b/badgerseam/lab/services.py
@@ -79,7 +79,7 @@
     def down(self) -> bool:
         return self._core.down
 
-    def outage(self, down: bool) -> None:
+    def set_down(self, down: bool) -> None:
         """Begin or end an outage: every request gets 503, open watches stay open."""
         if self.down and not down:
             # Every lease has its full time again.
