--- /dev/null
+++ b/badgerseam/lab/service_faults.py
@@ -0,0 +1,48 @@
+"""Faults of the state service and the cloud as a whole."""
+
+from __future__ import annotations
+
+from badgerseam.lab.active_faults import ActiveFaults, FaultHandler
+from badgerseam.lab.fault import Fault
+from badgerseam.lab.lab import Lab
+
+
+class ServiceFaults:
+    """Takes a lab's services down, or the cloud's capacity away."""
+
+    def __init__(self, lab: Lab, active: ActiveFaults) -> None:
+        self._lab = lab
+        self._active = active
+
+    def handlers(self) -> dict[str, FaultHandler]:
+        """The handler of each kind of fault."""
+        return {
+            "state-down": self._take_state_service_down,
+            "cloud-down": self._take_cloud_down,
+            "no-capacity": self._exhaust_capacity,
+        }
+
+    def _take_state_service_down(self, fault: Fault) -> str:
+        service = self._lab.state_service
+        service.set_down(True)
+        return self._active.add(fault, "state service down", lambda: service.set_down(False))
+
+    def _take_cloud_down(self, fault: Fault) -> str:
+        service = self._lab.cloud_service
+        service.down = True
+
+        def revert() -> None:
+            service.down = False
+
+        return self._active.add(fault, "cloud down", revert)
+
+    def _exhaust_capacity(self, fault: Fault) -> str:
+        """No offer of the cloud has a machine left."""
+        core = self._lab.cloud_core
+        core.exhausted_offers |= {
+            (machine_type.name, zone, spot)
+            for machine_type in core.types
+            for zone in machine_type.zones
+            for spot in (True, False)
+        }
+        return self._active.add(fault, "cloud without capacity", core.exhausted_offers.clear)
