--- /dev/null
+++ b/badgerseam/lab/waiting_rule.py
@@ -0,0 +1,66 @@
+"""The rule that no job is left waiting beside free resources."""
+
+from __future__ import annotations
+
+from badgerseam.lab.history import Event
+from badgerseam.lab.job_terms import unmet_terms
+from badgerseam.lab.judged_history import (
+    JudgedHistory,
+    JudgedJob,
+    RuleContext,
+    RuleViolation,
+    job_of,
+)
+from badgerseam.lab.waiting import LEFT_S, LOOK_S, StartableTasks, WaitingDetector
+
+
+class WaitingRule:
+    """Checks once a second which jobs wait though a plan would start some of their tasks."""
+
+    def __init__(self, context: RuleContext, history: JudgedHistory) -> None:
+        self._context = context
+        self._history = history
+        self._detector = WaitingDetector(context.teams, context.machine_types)
+        self._next_check = 0.0
+
+    @property
+    def below_limit_s(self) -> dict[str, float]:
+        """By team, the seconds for which it had work that waited, a limit not reached and room."""
+        return dict(sorted(self._detector.below_limit_s.items()))
+
+    def on_event(self, event: Event) -> None:
+        """Follow machines and tasks; called once the history knows of the event."""
+        job = self._history.jobs.get(job_of(event.job))
+        self._detector.on_event(event, None if job is None else job.spec)
+
+    def check_until(self, t: float) -> None:
+        """Make all checks that are due before a time."""
+        while self._next_check < t:
+            check_at = self._next_check
+            self._next_check += LOOK_S
+            startable = {}
+            if self._history.no_failure_since is not None:
+                startable = self._startable_tasks(check_at)
+            for name in self._detector.look(check_at, startable):
+                text = f"left waiting for {LEFT_S:.0f} s beside room, and nothing was broken"
+                violation = RuleViolation(check_at, "left_waiting", name, text)
+                self._history.violations.append(violation)
+
+    def _startable_tasks(self, t: float) -> dict[str, StartableTasks]:
+        """The jobs of which tasks wait that may start."""
+        found: dict[str, StartableTasks] = {}
+        for name, job in self._history.open_jobs.items():
+            count = self._startable_count(name, job, t)
+            if count > 0:
+                found[name] = StartableTasks(job.spec, job.position, count)
+        return found
+
+    def _startable_count(self, name: str, job: JudgedJob, t: float) -> int:
+        live = self._detector.live(name)
+        count = job.spec.tasks - len(job.done_tasks) - live
+        terms = job.spec.terms
+        if terms is None:
+            return count
+        if unmet_terms(self._history, job, self._context.began_at + t):
+            return 0
+        return count if terms.throttle is None else min(count, terms.throttle - live)
--- a/tests/support/simulated_site.py
+++ b/tests/support/simulated_site.py
@@ -24,11 +24,11 @@
 from badgerseam.controller import Controller
 from badgerseam.http.client import ConnectionResetByPeerError, NoResponseError
 from badgerseam.http.server import Reply
-from badgerseam.lab.checker import RuleViolation
 from badgerseam.lab.controllers import BACK_S
 from badgerseam.lab.fault import Fault
 from badgerseam.lab.fault_injector import FaultInjector
 from badgerseam.lab.history import History
+from badgerseam.lab.judged_history import RuleViolation
 from badgerseam.lab.lab import Lab
 from badgerseam.lab.load import PATIENCE_S
 from badgerseam.lab.load_balancer import FINAL_STATUSES, TrueBehaviour
