--- a/badgerseam/cli/__init__.py
+++ b/badgerseam/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: declares the commands and hands each to the module that runs it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 import gc
 import json
 import os
-from collections.abc import Sequence
+from collections.abc import Callable, Coroutine, Sequence
+from typing import Any
 
 from badgerseam import __version__, logs
 from badgerseam.cli import classes, client, lab, rollout, runs
@@ -21,9 +22,15 @@
 )
 
 OPTIONS_VARIABLE = "BADGERSEAM_OPTIONS"
+"""Names the operators' settings file if `--options` is not given."""
+GC_THRESHOLDS = (20_000, 25, 25)
+"""Of Python's garbage collector, for a controller: its objects live long, so cycles are looked for
+more rarely than after each 700 new ones. With the bound on plans a tenth less time on a long
+backlog."""
 
 
-def _parser() -> argparse.ArgumentParser:
+def make_parser() -> argparse.ArgumentParser:
+    """The parser of `badgerseam`'s arguments."""
     parser = argparse.ArgumentParser(
         prog="badgerseam",
         description="A preemption-aware cluster scheduler after the GFS paper.",
@@ -58,38 +65,16 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run a command; the exit code."""
-    options = _parser().parse_args(arguments)
+    options = make_parser().parse_args(arguments)
     try:
-        if options.command == "serve":
-            return _serve(options)
-        if options.command == "check-config":
-            tunables = load_tunables(options.options)
-            check_tunables(tunables, load_settings(options.config), options.options)
-            print("the settings are usable")
-            return EXIT_OK
-        if options.command == "schema":
-            print(json.dumps(tunables_schema(), indent=2))
-            return EXIT_OK
-        if options.command == "slurm":
-            from badgerseam.slurm.commands import COMMANDS
-
-            return COMMANDS[options.order](options.rest)
-        if options.command == "lab":
-            return lab.run(options)
-        if options.command == "rollout":
-            return asyncio.run(rollout.run(options))
-        if options.command == "classes":
-            return asyncio.run(classes.run(options))
-        if options.command == "runs":
-            return asyncio.run(runs.run(options))
-        return asyncio.run(client.run(options))
+        return COMMANDS[options.command](options)
     except SettingsError as error:
         return fail(str(error), EXIT_USAGE)
     except KeyboardInterrupt:
         return EXIT_OK
 
 
-def _serve(options: argparse.Namespace) -> int:
+def _run_controller(options: argparse.Namespace) -> int:
     try:
         logs.configure(os.environ.get("LOG_LEVEL", "info"))
     except ValueError as error:
@@ -97,21 +82,57 @@
     settings = load_settings(options.config)
     tunables = load_tunables(options.options)
     check_tunables(tunables, settings, options.options)
-    # The client commands above need none of this.
+    # The other commands need none of this.
     import uvloop
 
     from badgerseam.clock import Clock, make_random
     from badgerseam.controller import Controller
 
-    # What a controller keeps lives long, so that circles in it are looked for more rarely than
-    # after each 700 new objects: with the bound on plans a tenth less time on a long backlog.
-    gc.set_threshold(20_000, 25, 25)
+    gc.set_threshold(*GC_THRESHOLDS)
 
-    async def serve() -> None:
+    async def run() -> None:
         await Controller(settings, tunables, Clock(), make_random()).run()
 
     try:
-        uvloop.run(serve())
+        uvloop.run(run())
     except OSError as error:
         return fail(f"cannot listen: {error}", EXIT_FAILED)
     return EXIT_OK
+
+
+def _check_config(options: argparse.Namespace) -> int:
+    tunables = load_tunables(options.options)
+    check_tunables(tunables, load_settings(options.config), options.options)
+    print("the settings are usable")
+    return EXIT_OK
+
+
+def _print_schema(_: argparse.Namespace) -> int:
+    print(json.dumps(tunables_schema(), indent=2))
+    return EXIT_OK
+
+
+def _run_slurm_command(options: argparse.Namespace) -> int:
+    from badgerseam.slurm.commands import COMMANDS as SLURM_COMMANDS
+
+    return SLURM_COMMANDS[options.order](options.rest)
+
+
+def _run_coroutine(
+    run: Callable[[argparse.Namespace], Coroutine[Any, Any, int]],
+) -> Callable[[argparse.Namespace], int]:
+    return lambda options: asyncio.run(run(options))
+
+
+COMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {
+    "serve": _run_controller,
+    "check-config": _check_config,
+    "schema": _print_schema,
+    "slurm": _run_slurm_command,
+    "lab": lab.run,
+    "rollout": _run_coroutine(rollout.run),
+    "classes": _run_coroutine(classes.run),
+    "runs": _run_coroutine(runs.run),
+    **dict.fromkeys(client.COMMANDS, _run_coroutine(client.run)),
+}
+"""What runs each command that `make_parser` declares."""
--- a/badgerseam/cli/exits.py
+++ b/badgerseam/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes, and how a failure is told."""
+"""Exit codes of the commands, and the form of their error messages."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 def fail(text: str, code: int) -> int:
-    """Say on standard error what went wrong; the exit code."""
+    """Print an error message on standard error; `code`, so that a caller can return it."""
     print(f"badgerseam: {text}", file=sys.stderr)
     return code
--- a/badgerseam/lab/cost_measurements.py
+++ b/badgerseam/lab/cost_measurements.py
@@ -206,10 +206,10 @@
     server = HttpServer(handle)
     port = free_ports(1)[0]
     server.listen(f"127.0.0.1:{port}")
-    options = queue.parser(lambda parser: None).parse_args([])
+    options = queue.make_parser(lambda parser: None).parse_args([])
     begun = time.perf_counter()
-    text = queue.render(
-        queue.rows(
+    text = queue.render_rows(
+        queue.select_rows(
             await BatchClient(ServiceClient(f"127.0.0.1:{port}", 10.0)).queue(True), options
         ),
         options,
--- a/badgerseam/slurm/acct.py
+++ b/badgerseam/slurm/acct.py
@@ -12,66 +12,72 @@
 import msgspec
 
 from badgerseam.slurm.client import BatchClient
-from badgerseam.slurm.states import PHASES, wanted_states
+from badgerseam.slurm.states import PHASE_STATES, parse_states
 from badgerseam.slurm.table import Field, R, Table
-from badgerseam.slurm.values import ValueFormatError, begin
+from badgerseam.slurm.values import ValueFormatError, parse_begin
 from badgerseam.wire.accounting import AccountingLine, AttemptLine, DayTotal
 
-FORMAT = "JobID:12,JobName:14,Account:10,State:10,NTasks:.7,Attempts:.9,Elapsed:.10,CPUTime:.12"
-TOTALS = "Day:10,Account:14,Jobs:.7,Cancelled:.10,Attempts:.9,CPUTime:.14,Wasted:.14,Money:.12"
+DEFAULT_FORMAT = (
+    "JobID:12,JobName:14,Account:10,State:10,NTasks:.7,Attempts:.9,Elapsed:.10,CPUTime:.12"
+)
+TOTALS_FORMAT = (
+    "Day:10,Account:14,Jobs:.7,Cancelled:.10,Attempts:.9,CPUTime:.14,Wasted:.14,Money:.12"
+)
 
 
-def _when(at: float | None) -> str:
+def _time_text(at: float | None) -> str:
     return "Unknown" if at is None else datetime.fromtimestamp(at).strftime("%Y-%m-%dT%H:%M:%S")
 
 
-def _span(seconds: float) -> str:
+def _duration_text(seconds: float) -> str:
     hours, rest = divmod(round(seconds), 3600)
     return f"{hours:02}:{rest // 60:02}:{rest % 60:02}"
 
 
-def _number(line: AccountingLine) -> str:
+def _job_number(line: AccountingLine) -> str:
     return line.id.partition("-")[2].lstrip("0") or "0"
 
 
-def _planned(line: AccountingLine) -> str:
+def _planned_text(line: AccountingLine) -> str:
     if line.eligible_at is None or line.started_at is None:
         return "Unknown"
-    return _span(max(0.0, line.started_at - line.eligible_at))
+    return _duration_text(max(0.0, line.started_at - line.eligible_at))
 
 
-def _ends(line: AccountingLine) -> str:
+def _ends_text(line: AccountingLine) -> str:
     return ";".join(f"{cause}={count}" for cause, count in line.ends.items())
 
 
 JOB_FIELDS: list[Field[AccountingLine]] = [
-    Field("", "JobID", "JobID", _number),
+    Field("", "JobID", "JobID", _job_number),
     Field("", "Id", "Id", lambda line: line.id),
     Field("", "JobName", "JobName", lambda line: line.name or line.job_class),
     Field("", "Account", "Account", lambda line: line.team),
     Field("", "User", "User", lambda line: line.user or ""),
     Field("", "QOS", "QOS", lambda line: line.priority),
-    Field("", "State", "State", lambda line: PHASES[line.state]),
+    Field("", "State", "State", lambda line: PHASE_STATES[line.state]),
     Field("", "ExitCode", "ExitCode", lambda line: "0:0" if line.state == "done" else "0:15"),
-    Field("", "Submit", "Submit", lambda line: _when(line.submitted_at)),
-    Field("", "Eligible", "Eligible", lambda line: _when(line.eligible_at)),
-    Field("", "Start", "Start", lambda line: _when(line.started_at)),
-    Field("", "End", "End", lambda line: _when(line.ended_at)),
-    Field("", "Planned", "Planned", _planned),
-    Field("", "Elapsed", "Elapsed", lambda line: _span(_elapsed(line))),
+    Field("", "Submit", "Submit", lambda line: _time_text(line.submitted_at)),
+    Field("", "Eligible", "Eligible", lambda line: _time_text(line.eligible_at)),
+    Field("", "Start", "Start", lambda line: _time_text(line.started_at)),
+    Field("", "End", "End", lambda line: _time_text(line.ended_at)),
+    Field("", "Planned", "Planned", _planned_text),
+    Field("", "Elapsed", "Elapsed", lambda line: _duration_text(_elapsed_s(line))),
     Field("", "NTasks", "NTasks", lambda line: str(line.tasks)),
     Field("", "AllocCPUS", "AllocCPUS", lambda line: f"{line.cpus * line.tasks:g}"),
-    Field("", "CPUTime", "CPUTime", lambda line: _span(line.useful_s * line.cpus)),
+    Field("", "CPUTime", "CPUTime", lambda line: _duration_text(line.useful_s * line.cpus)),
     Field("", "CPUTimeRAW", "CPUTimeRAW", lambda line: f"{line.useful_s * line.cpus:.3f}"),
-    Field("", "Wasted", "Wasted", lambda line: _span(line.wasted_s * line.cpus)),
+    Field("", "Wasted", "Wasted", lambda line: _duration_text(line.wasted_s * line.cpus)),
     Field("", "WastedRAW", "WastedRAW", lambda line: f"{line.wasted_s * line.cpus:.3f}"),
     Field("", "Attempts", "Attempts", lambda line: str(line.attempts)),
     Field("", "Unmeasured", "Unmeasured", lambda line: str(line.unmeasured)),
     Field("", "Complete", "Complete", lambda line: "yes" if line.complete else "no"),
-    Field("", "Ends", "Ends", _ends),
+    Field("", "Ends", "Ends", _ends_text),
     Field("", "Money", "Money", lambda line: f"{line.money:.4f}"),
 ]
-ATTEMPTS = "JobID:16,Attempt:.7,Machine:12,State:10,Seconds:.10,Start:20,End:20,EvictedFor:14"
+ATTEMPTS_FORMAT = (
+    "JobID:16,Attempt:.7,Machine:12,State:10,Seconds:.10,Start:20,End:20,EvictedFor:14"
+)
 ATTEMPT_FIELDS: list[Field[AttemptLine]] = [
     Field("", "JobID", "JobID", lambda line: f"{line.id.partition('-')[2]}_{line.task}"),
     Field("", "Attempt", "Attempt", lambda line: str(line.attempt)),
@@ -80,13 +86,13 @@
     Field("", "Zone", "Zone", lambda line: line.zone),
     Field("", "Spot", "Spot", lambda line: "yes" if line.spot else "no"),
     Field("", "State", "State", lambda line: line.cause),
-    Field("", "Placed", "Placed", lambda line: _when(line.placed_at)),
-    Field("", "Start", "Start", lambda line: _when(_start(line))),
-    Field("", "End", "End", lambda line: _when(line.ended_at)),
-    Field("", "Seconds", "Seconds", lambda line: _or(line.seconds, "{:.3f}")),
+    Field("", "Placed", "Placed", lambda line: _time_text(line.placed_at)),
+    Field("", "Start", "Start", lambda line: _time_text(_started_at(line))),
+    Field("", "End", "End", lambda line: _time_text(line.ended_at)),
+    Field("", "Seconds", "Seconds", lambda line: _text_or_unknown(line.seconds, "{:.3f}")),
     Field("", "Money", "Money", lambda line: f"{line.money:.6f}"),
     Field("", "EvictedFor", "EvictedFor", lambda line: line.evicted_for or ""),
-    Field("", "Cost", "Cost", lambda line: _or(line.cost, "{:.4f}")),
+    Field("", "Cost", "Cost", lambda line: _text_or_unknown(line.cost, "{:.4f}")),
 ]
 TOTAL_FIELDS: list[Field[DayTotal]] = [
     Field("", "Day", "Day", lambda total: total.day),
@@ -95,25 +101,25 @@
     Field("", "Cancelled", "Cancelled", lambda total: str(total.cancelled)),
     Field("", "Attempts", "Attempts", lambda total: str(total.attempts)),
     Field("", "Unmeasured", "Unmeasured", lambda total: str(total.unmeasured)),
-    Field("", "CPUTime", "CPUTime", lambda total: _span(total.useful_cpu_s)),
-    Field("", "Wasted", "Wasted", lambda total: _span(total.wasted_cpu_s)),
+    Field("", "CPUTime", "CPUTime", lambda total: _duration_text(total.useful_cpu_s)),
+    Field("", "Wasted", "Wasted", lambda total: _duration_text(total.wasted_cpu_s)),
     Field("", "Money", "Money", lambda total: f"{total.money:.4f}"),
 ]
 
 
-def _start(line: AttemptLine) -> float | None:
+def _started_at(line: AttemptLine) -> float | None:
     return None if line.seconds is None else line.ended_at - line.seconds
 
 
-def _or(value: float | None, text: str) -> str:
+def _text_or_unknown(value: float | None, text: str) -> str:
     return "unknown" if value is None else text.format(value)
 
 
-def _elapsed(line: AccountingLine) -> float:
+def _elapsed_s(line: AccountingLine) -> float:
     return 0.0 if line.started_at is None else max(0.0, line.ended_at - line.started_at)
 
 
-def parser(node: Callable[[argparse.ArgumentParser], None]) -> argparse.ArgumentParser:
+def make_parser(node: Callable[[argparse.ArgumentParser], None]) -> argparse.ArgumentParser:
     """The options of bsacct."""
     made = argparse.ArgumentParser(prog="bsacct", description="List jobs that have ended.")
     made.add_argument("-j", "--jobs", help="numbers or ids, with commas")
@@ -134,7 +140,7 @@
     return made
 
 
-def filters(options: argparse.Namespace, now: datetime) -> dict[str, str]:
+def parse_filters(options: argparse.Namespace, now: datetime) -> dict[str, str]:
     """What is asked of the service; ValueProblem names what cannot be."""
     found: dict[str, str] = {}
     for name, value in (("team", options.account), ("user", options.user), ("name", options.name)):
@@ -142,17 +148,17 @@
             found[name] = value
     for name, text in (("since", options.starttime), ("until", options.endtime)):
         if text is not None:
-            at = begin(text, now)
+            at = parse_begin(text, now)
             # A time of day is the latest one that has been, not the next.
             if at > now and ":" in text and "T" not in text and "-" not in text:
                 at = at.replace(day=now.day, month=now.month, year=now.year)
             found[name] = f"{at.timestamp():.3f}"
     if options.state is not None:
         try:
-            wanted = wanted_states(options.state)
+            wanted = parse_states(options.state)
         except ValueError as error:
             raise ValueFormatError(f"--state: {error}") from error
-        ended = [phase for phase, name in PHASES.items() if name in wanted]
+        ended = [phase for phase, name in PHASE_STATES.items() if name in wanted]
         ended = [phase for phase in ended if phase in ("done", "withdrawn")]
         if not ended:
             raise ValueFormatError("--state: jobs here end as COMPLETED or CANCELLED only")
@@ -161,14 +167,16 @@
     return found
 
 
-async def _wanted(batch: BatchClient, options: argparse.Namespace) -> AsyncIterator[AccountingLine]:
-    asked = filters(options, datetime.now().astimezone())
+async def _matching_jobs(
+    batch: BatchClient, options: argparse.Namespace
+) -> AsyncIterator[AccountingLine]:
+    asked = parse_filters(options, datetime.now().astimezone())
     if options.jobs is None:
         async for line in batch.accounting(asked):
             yield line
         return
     for job in options.jobs.split(","):
-        job_id = await batch.id_of(job.strip())
+        job_id = await batch.resolve_id(job.strip())
         async for line in batch.accounting(asked | {"job": job_id}):
             yield line
 
@@ -178,31 +186,34 @@
     if options.totals:
         totals = await batch.totals()
         totals = [t for t in totals if options.account in (None, t.team)]
-        _print(Table(TOTAL_FIELDS), options.format or TOTALS, totals, options)
+        _print_table(Table(TOTAL_FIELDS), options.format or TOTALS_FORMAT, totals, options)
         return
     if options.attempts:
-        await _attempts(batch, options)
+        await _print_attempts(batch, options)
         return
     table = Table(JOB_FIELDS)
-    columns = table.long(options.format or FORMAT)
+    columns = table.columns_by_name(options.format or DEFAULT_FORMAT)
     if options.csv:
         writer = csv.writer(sys.stdout, lineterminator="\n")
         if not options.noheader:
-            writer.writerow([column.field.head for column in columns])
-        async for line in _wanted(batch, options):
+            writer.writerow([column.field.header for column in columns])
+        async for line in _matching_jobs(batch, options):
             writer.writerow([column.field.value(line) for column in columns])
         return
-    _print(
-        table, options.format or FORMAT, [line async for line in _wanted(batch, options)], options
+    _print_table(
+        table,
+        options.format or DEFAULT_FORMAT,
+        [line async for line in _matching_jobs(batch, options)],
+        options,
     )
 
 
-async def _attempts(batch: BatchClient, options: argparse.Namespace) -> None:
+async def _print_attempts(batch: BatchClient, options: argparse.Namespace) -> None:
     if options.jobs is None:
         raise ValueFormatError("--attempts: name jobs with -j")
     found: list[AttemptLine] = []
     for job in options.jobs.split(","):
-        job_id = await batch.id_of(job.strip())
+        job_id = await batch.resolve_id(job.strip())
         lines, end = await batch.attempts(job_id)
         found += lines
         if end.records < end.attempts or not end.whole:
@@ -211,14 +222,14 @@
                 f"{'' if end.whole else '; not all of the log was looked at'}",
                 file=sys.stderr,
             )
-    _print(Table(ATTEMPT_FIELDS), options.format or ATTEMPTS, found, options)
+    _print_table(Table(ATTEMPT_FIELDS), options.format or ATTEMPTS_FORMAT, found, options)
 
 
-def _print(table: Table[R], text: str, rows: list[R], options: argparse.Namespace) -> None:
-    columns = table.long(text)
+def _print_table(table: Table[R], text: str, rows: list[R], options: argparse.Namespace) -> None:
+    columns = table.columns_by_name(text)
     if options.json:
         print(json.dumps([msgspec.to_builtins(row) for row in rows], indent=2))
     elif options.parsable2:
-        print(table.parsable(columns, rows, not options.noheader))
+        print(table.render_parsable(columns, rows, not options.noheader))
     else:
-        print(table.text(columns, rows, not options.noheader))
+        print(table.render(columns, rows, not options.noheader))
--- a/badgerseam/slurm/client.py
+++ b/badgerseam/slurm/client.py
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from badgerseam.http.client import Response
 
-PAGE = 200
-ACCOUNTING_PAGE = 500
+PAGE_SIZE = 200
+ACCOUNTING_PAGE_SIZE = 500
 MAX_JOBS_EXPLAINED = 300
 """Waiting jobs whose reasons are asked for with a list."""
 
@@ -35,22 +35,22 @@
     def __init__(self, front: ServiceClient) -> None:
         self._front = front
 
-    async def _ask(
+    async def _request(
         self, method: str, path: str, body: bytes | None = None, good: tuple[int, ...] = (200,)
     ) -> Response:
-        response = await self._front.ask(method, path, body)
+        response = await self._front.request(method, path, body)
         if response.status not in good:
-            raise RefusedError(f"{path}: {_error(response)}")
+            raise RefusedError(f"{path}: {_error_text(response)}")
         return response
 
-    async def id_of(self, text: str) -> str:
+    async def resolve_id(self, text: str) -> str:
         """The id that a number, or an id, as typed, stands for."""
         if text.startswith("job-"):
             return text
         number = text.partition("_")[0]
         if not number.isdecimal():
             raise RefusedError(f"{text!r} is no job number such as 1000123")
-        response = await self._ask("GET", f"/numbers/{number}")
+        response = await self._request("GET", f"/numbers/{number}")
         ids = wire.number_lookup_decoder.decode(response.body).ids
         if not ids:
             raise RefusedError(f"{number}: no such job")
@@ -60,46 +60,46 @@
             )
         return ids[0]
 
-    async def numbers(self, count: int) -> list[int]:
+    async def claim_numbers(self, count: int) -> list[int]:
         """New job numbers."""
         body = wire.encode(wire.NumbersRequest(count))
-        response = await self._ask("POST", "/numbers", body)
+        response = await self._request("POST", "/numbers", body)
         return wire.numbers_response_decoder.decode(response.body).numbers
 
     async def submit(self, spec: Submission) -> bool:
         """Submit; False if the id is another job's."""
         body = msgspec.json.encode(spec)
-        response = await self._front.ask("POST", "/submissions", body)
+        response = await self._front.request("POST", "/submissions", body)
         if response.status == 409:
             return False
         if response.status not in (200, 201):
-            raise RefusedError(_error(response))
+            raise RefusedError(_error_text(response))
         return True
 
     async def phase(self, job: str) -> str:
-        response = await self._ask("GET", f"/submissions/{job}")
+        response = await self._request("GET", f"/submissions/{job}")
         return str(json.loads(response.body).get("phase"))
 
     async def cancel(self, job: str) -> str:
         """Cancel; the phase that the job has then."""
-        response = await self._ask("POST", f"/submissions/{job}/abort", b"{}")
+        response = await self._request("POST", f"/submissions/{job}/abort", b"{}")
         return str(json.loads(response.body).get("phase"))
 
     async def details(self, job: str) -> wire.Details:
-        response = await self._ask("GET", f"/submissions/{job}/details")
+        response = await self._request("GET", f"/submissions/{job}/details")
         return wire.details_decoder.decode(response.body)
 
     async def why(self, job: str) -> explain.Why | None:
         """Why it waits, if anybody says so."""
-        response = await self._front.ask("GET", f"/submissions/{job}/why")
+        response = await self._front.request("GET", f"/submissions/{job}/why")
         return explain.why_decoder.decode(response.body) if response.status == 200 else None
 
-    async def amend(self, job: str, change: dict[str, Any]) -> None:
+    async def update_terms(self, job: str, change: dict[str, Any]) -> None:
         """Change a job's terms."""
-        await self._ask("POST", f"/submissions/{job}/terms", json.dumps(change).encode())
+        await self._request("POST", f"/submissions/{job}/terms", json.dumps(change).encode())
 
     async def machines(self) -> list[wire.MachineRow]:
-        response = await self._ask("GET", "/machines")
+        response = await self._request("GET", "/machines")
         return wire.machines_decoder.decode(response.body)
 
     async def queue(self, reasons: bool) -> list[explain.QueueLine]:
@@ -108,24 +108,26 @@
         A list without reasons needs no survey and is cheap at any length; beyond MOST_ASKED waiting
         jobs it is enough to know which of them their own terms hold back.
         """
-        lines = await self._list({})
+        lines = await self._list_open_jobs({})
         unknown = [line for line in lines if line.waiting and not line.reasons]
         if not reasons or not 0 < len(unknown) <= MAX_JOBS_EXPLAINED:
             return lines
-        told = {line.id: line for line in await self._list({"reasons": "1", "waiting": "1"})}
+        told = {
+            line.id: line for line in await self._list_open_jobs({"reasons": "1", "waiting": "1"})
+        }
         return [told.get(line.id, line) for line in lines]
 
-    async def _list(self, filters: dict[str, str]) -> list[explain.QueueLine]:
+    async def _list_open_jobs(self, filters: dict[str, str]) -> list[explain.QueueLine]:
         lines: list[explain.QueueLine] = []
         after = ""
         while True:
-            query = {"limit": str(PAGE), "after": after} | filters
-            response = await self._ask("GET", f"/queue?{urlencode(query)}")
+            query = {"limit": str(PAGE_SIZE), "after": after} | filters
+            response = await self._request("GET", f"/queue?{urlencode(query)}")
             page = [
                 explain.line_decoder.decode(line) for line in response.body.splitlines() if line
             ]
             lines += page
-            if len(page) < PAGE:
+            if len(page) < PAGE_SIZE:
                 return lines
             after = page[-1].id
 
@@ -135,10 +137,10 @@
         """Jobs that have ended, the latest first, page by page."""
         after: str | None = None
         while True:
-            query = filters | {"limit": str(ACCOUNTING_PAGE)}
+            query = filters | {"limit": str(ACCOUNTING_PAGE_SIZE)}
             if after is not None:
                 query["after"] = after
-            response = await self._ask("GET", f"/accounting?{urlencode(query)}")
+            response = await self._request("GET", f"/accounting?{urlencode(query)}")
             more: str | None = None
             for text in response.body.splitlines():
                 if text.startswith(b'{"after"'):
@@ -153,18 +155,18 @@
         self, job: str
     ) -> tuple[list[accounting_wire.AttemptLine], accounting_wire.AttemptsEnd]:
         """A job's attempts, and how many there were."""
-        response = await self._ask("GET", f"/accounting/attempts?job={job}")
+        response = await self._request("GET", f"/accounting/attempts?job={job}")
         *lines, last = response.body.splitlines()
         found = [accounting_wire.attempt_decoder.decode(line) for line in lines]
         return found, accounting_wire.attempts_end_decoder.decode(last)
 
     async def totals(self) -> list[accounting_wire.DayTotal]:
         """By team and day."""
-        response = await self._ask("GET", "/accounting/totals")
+        response = await self._request("GET", "/accounting/totals")
         return accounting_wire.totals_decoder.decode(response.body)
 
 
-def _error(response: Response) -> str:
+def _error_text(response: Response) -> str:
     try:
         return str(json.loads(response.body)["error"])
     except (ValueError, KeyError, TypeError):
--- a/badgerseam/slurm/commands.py
+++ b/badgerseam/slurm/commands.py
@@ -22,17 +22,17 @@
 from badgerseam.slurm.table import Field, Table, TableFormatError
 from badgerseam.wire import batch as wire
 
-WAIT_S = 2.0
+WAIT_POLL_INTERVAL_S = 2.0
 PATIENCE_S = 60.0
 READ_PATIENCE_S = 10.0
 """Whoever only looks is told soon that nobody answers."""
 
 
-def _say(name: str, text: str) -> None:
+def _print_error(name: str, text: str) -> None:
     print(f"{name}: error: {text}", file=sys.stderr)
 
 
-def _run(
+def _run_with_client(
     name: str,
     work: Callable[[BatchClient], Coroutine[Any, Any, int]],
     node: str | None,
@@ -42,19 +42,19 @@
     try:
         return asyncio.run(work(BatchClient(ServiceClient(nodes, patience_s))))
     except (submit.SubmissionError, TableFormatError, values.ValueFormatError) as error:
-        _say(name, str(error))
+        _print_error(name, str(error))
         return EXIT_USAGE
     except RefusedError as error:
-        _say(name, str(error))
+        _print_error(name, str(error))
         return EXIT_FAILED
     except UnreachableError as error:
-        _say(name, str(error))
+        _print_error(name, str(error))
         return EXIT_UNREACHABLE
     except KeyboardInterrupt:
         return EXIT_FAILED
 
 
-def _node(parser: argparse.ArgumentParser) -> None:
+def _add_node_option(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--node", help=f"addresses of controllers ({NODES_VARIABLE})")
 
 
@@ -65,23 +65,23 @@
     """Submit a job."""
     given = list(sys.argv[1:] if arguments is None else arguments)
     try:
-        command = _batch_options(given)
+        command = _parse_batch_arguments(given)
         script = submit.read_script(command, sys.stdin.read)
-        made = submit.draft(command, script)
+        made = submit.make_draft(command, script)
         # Whatever can be said without the service is said before it is asked.
         made.submission("job-1", [], "x", datetime.now().astimezone())
     except (submit.SubmissionError, values.ValueFormatError) as error:
-        _say("bsbatch", str(error))
+        _print_error("bsbatch", str(error))
         return EXIT_USAGE
-    return _run("bsbatch", lambda batch: _submit(batch, command, made), command.node)
+    return _run_with_client("bsbatch", lambda batch: _submit(batch, command, made), command.node)
 
 
-def _batch_options(given: list[str]) -> argparse.Namespace:
+def _parse_batch_arguments(given: list[str]) -> argparse.Namespace:
     # --node is ours, not a job's: it is taken out before a script's options are merged.
     outer = argparse.ArgumentParser(add_help=False, allow_abbrev=False)
-    _node(outer)
+    _add_node_option(outer)
     own, rest = outer.parse_known_args(given)
-    command = submit.parse(rest)
+    command = submit.parse_command(rest)
     command.node = own.node
     return command
 
@@ -90,14 +90,14 @@
     now = datetime.now().astimezone()
     ids = {}
     for _, job in made.depends.entries if made.depends else []:
-        ids[job] = await batch.id_of(job)
-    depends = values.resolved(made.depends, ids) if made.depends else []
+        ids[job] = await batch.resolve_id(job)
+    depends = values.resolve_dependencies(made.depends, ids) if made.depends else []
     if command.test_only:
         spec = made.submission("job-1", depends, "x", now)
         print(f"bsbatch: would be submitted: {msgspec.json.encode(spec).decode()}")
         return EXIT_OK
     while True:
-        number = (await batch.numbers(1))[0]
+        number = (await batch.claim_numbers(1))[0]
         job_id = f"job-{number}"
         spec = made.submission(job_id, depends, secrets.token_hex(8), now)
         if await batch.submit(spec):
@@ -116,7 +116,7 @@
         phase = await batch.phase(job_id)
         if phase in ("done", "withdrawn"):
             return EXIT_OK if phase == "done" else EXIT_FAILED
-        await asyncio.sleep(WAIT_S)
+        await asyncio.sleep(WAIT_POLL_INTERVAL_S)
 
 
 # ---- bscancel ----
@@ -131,13 +131,15 @@
     parser.add_argument("-u", "--user")
     parser.add_argument("-t", "--state", help="PENDING or RUNNING")
     parser.add_argument("-v", "--verbose", action="store_true")
-    _node(parser)
+    _add_node_option(parser)
     options = parser.parse_args(arguments)
     filters = (options.account, options.name, options.user, options.state)
     if not options.jobs and not any(filters):
-        _say("bscancel", "name jobs, or what they have in common (--account, --name, --user)")
+        _print_error(
+            "bscancel", "name jobs, or what they have in common (--account, --name, --user)"
+        )
         return EXIT_USAGE
-    return _run("bscancel", lambda batch: _cancel(batch, options), options.node)
+    return _run_with_client("bscancel", lambda batch: _cancel(batch, options), options.node)
 
 
 async def _cancel(batch: BatchClient, options: argparse.Namespace) -> int:
@@ -145,26 +147,26 @@
     failed = False
     for job in options.jobs:
         if "_" in job:
-            _say("bscancel", f"{job}: a task of an array cannot be cancelled alone")
+            _print_error("bscancel", f"{job}: a task of an array cannot be cancelled alone")
             failed = True
             continue
         try:
-            ids.append(await batch.id_of(job))
+            ids.append(await batch.resolve_id(job))
         except RefusedError as error:
-            _say("bscancel", str(error))
+            _print_error("bscancel", str(error))
             failed = True
     filters = queue.Filters(
-        options.account, options.user, options.name, queue.states_of(options.state), None
+        options.account, options.user, options.name, queue.parse_states_option(options.state), None
     )
     if not options.jobs:
-        ids = [line.id for line in await batch.queue(False) if filters.take(line)]
+        ids = [line.id for line in await batch.queue(False) if filters.matches(line)]
     elif any((options.account, options.name, options.user, options.state)):
-        matching = {line.id for line in await batch.queue(False) if filters.take(line)}
+        matching = {line.id for line in await batch.queue(False) if filters.matches(line)}
         ids = [job for job in ids if job in matching]
     for job in ids:
         phase = await batch.cancel(job)
         if phase == "done":
-            _say("bscancel", f"{job}: the job is done already")
+            _print_error("bscancel", f"{job}: the job is done already")
             failed = True
         elif options.verbose:
             print(f"bscancel: {job} is cancelled")
@@ -176,14 +178,14 @@
 
 def bsqueue(arguments: Sequence[str] | None = None) -> int:
     """List open jobs."""
-    options = queue.parser(_node).parse_args(arguments)
+    options = queue.make_parser(_add_node_option).parse_args(arguments)
 
     async def work(batch: BatchClient) -> int:
-        rows = queue.rows(await batch.queue(True), options)
-        print(queue.render(rows, options))
+        rows = queue.select_rows(await batch.queue(True), options)
+        print(queue.render_rows(rows, options))
         return EXIT_OK
 
-    return _run("bsqueue", work, options.node, READ_PATIENCE_S)
+    return _run_with_client("bsqueue", work, options.node, READ_PATIENCE_S)
 
 
 # ---- bsinfo ----
@@ -210,20 +212,20 @@
     parser.add_argument("-o", "--format", default=MACHINE_FORMAT)
     parser.add_argument("-h", "--noheader", action="store_true")
     parser.add_argument("--json", action="store_true")
-    _node(parser)
+    _add_node_option(parser)
     options = parser.parse_args(arguments)
 
     async def work(batch: BatchClient) -> int:
         table = Table(MACHINE_FIELDS)
-        columns = table.short(options.format)
+        columns = table.columns_by_letter(options.format)
         rows = [row for row in await batch.machines() if options.partition in (None, row.type)]
         if options.json:
             print(json.dumps([msgspec.to_builtins(row) for row in rows], indent=2))
         else:
-            print(table.text(columns, rows, not options.noheader))
+            print(table.render(columns, rows, not options.noheader))
         return EXIT_OK
 
-    return _run("bsinfo", work, options.node, READ_PATIENCE_S)
+    return _run_with_client("bsinfo", work, options.node, READ_PATIENCE_S)
 
 
 # ---- bscontrol ----
@@ -232,7 +234,7 @@
 def bscontrol(arguments: Sequence[str] | None = None) -> int:
     """Show, hold, release and change jobs."""
     parser = argparse.ArgumentParser(prog="bscontrol", description="Show and change jobs.")
-    _node(parser)
+    _add_node_option(parser)
     orders = parser.add_subparsers(dest="order", required=True)
     show = orders.add_parser("show", help="show job NUMBER")
     show.add_argument("what", choices=["job"])
@@ -242,26 +244,26 @@
     update = orders.add_parser("update", help="update JobId=NUMBER Field=value ...")
     update.add_argument("fields", nargs="+")
     options = parser.parse_args(arguments)
-    return _run("bscontrol", lambda batch: _control(batch, options), options.node)
+    return _run_with_client("bscontrol", lambda batch: _control(batch, options), options.node)
 
 
 async def _control(batch: BatchClient, options: argparse.Namespace) -> int:
     if options.order == "show":
-        job = await batch.id_of(options.job)
-        print(control.show(await batch.details(job), await batch.why(job)))
+        job = await batch.resolve_id(options.job)
+        print(control.job_text(await batch.details(job), await batch.why(job)))
         return EXIT_OK
     if options.order in ("hold", "release"):
         for name in options.jobs:
-            job = await batch.id_of(name)
-            await batch.amend(job, {"hold": options.order == "hold"})
+            job = await batch.resolve_id(name)
+            await batch.update_terms(job, {"hold": options.order == "hold"})
         return EXIT_OK
-    name, change = control.changes(options.fields, datetime.now().astimezone())
+    name, change = control.parse_update(options.fields, datetime.now().astimezone())
     if "depends" in change:
         entries = change["depends"]
         change["depends"] = [
-            {"kind": kind, "job": await batch.id_of(other)} for kind, other in entries
+            {"kind": kind, "job": await batch.resolve_id(other)} for kind, other in entries
         ]
-    await batch.amend(await batch.id_of(name), change)
+    await batch.update_terms(await batch.resolve_id(name), change)
     return EXIT_OK
 
 
@@ -270,13 +272,13 @@
 
 def bsacct(arguments: Sequence[str] | None = None) -> int:
     """List jobs that have ended."""
-    options = acct.parser(_node).parse_args(arguments)
+    options = acct.make_parser(_add_node_option).parse_args(arguments)
 
     async def work(batch: BatchClient) -> int:
         await acct.run(batch, options)
         return EXIT_OK
 
-    return _run("bsacct", work, options.node, READ_PATIENCE_S)
+    return _run_with_client("bsacct", work, options.node, READ_PATIENCE_S)
 
 
 COMMANDS: dict[str, Callable[[Sequence[str] | None], int]] = {
--- a/badgerseam/slurm/states.py
+++ b/badgerseam/slurm/states.py
@@ -4,7 +4,7 @@
 
 from badgerseam.wire.explain import Code, QueueLine
 
-STATES = {
+STATE_ABBREVIATIONS = {
     "PENDING": "PD",
     "RUNNING": "R",
     "COMPLETED": "CD",
@@ -20,14 +20,14 @@
 """Job states and their short forms, as published in Slurm's manual of squeue. The service's jobs
 are only ever in the first four: a task that fails is tried again until its user cancels the job."""
 
-PHASES = {
+PHASE_STATES = {
     "pending": "PENDING",
     "running": "RUNNING",
     "done": "COMPLETED",
     "withdrawn": "CANCELLED",
 }
 
-REASONS: dict[Code, str] = {
+REASON_NAMES: dict[Code, str] = {
     "held": "JobHeldUser",
     "begin_time": "BeginTime",
     "dependency": "Dependency",
@@ -65,24 +65,24 @@
 }
 
 
-def wanted_states(text: str) -> set[str]:
+def parse_states(text: str) -> set[str]:
     """Full names of the states in a list such as PD,running; ValueError names the unknown one."""
-    short = {value: name for name, value in STATES.items()}
+    short = {value: name for name, value in STATE_ABBREVIATIONS.items()}
     found: set[str] = set()
     for part in text.split(","):
         name = part.strip().upper()
         if name == "ALL":
-            return set(STATES)
+            return set(STATE_ABBREVIATIONS)
         name = short.get(name, name)
-        if name not in STATES:
-            raise ValueError(f"{part!r} is no state; there are {', '.join(STATES)}")
+        if name not in STATE_ABBREVIATIONS:
+            raise ValueError(f"{part!r} is no state; there are {', '.join(STATE_ABBREVIATIONS)}")
         found.add(name)
     return found
 
 
-def reason(line: QueueLine) -> str:
+def reason_name(line: QueueLine) -> str:
     """Slurm's word for what holds a job's waiting tasks back."""
     for code in line.reasons:
-        if code in REASONS:
-            return REASONS[code]
+        if code in REASON_NAMES:
+            return REASON_NAMES[code]
     return "Priority" if line.waiting else "None"
--- a/badgerseam/slurm/submit.py
+++ b/badgerseam/slurm/submit.py
@@ -26,11 +26,11 @@
     "scavenger": "best_effort",
     "best_effort": "best_effort",
 }
-FEATURES = ("ordinary", "spot", "scatter", "onezone")
+CONSTRAINTS = ("ordinary", "spot", "scatter", "onezone")
 ACCOUNT_VARIABLE = "BADGERSEAM_ACCOUNT"
-MARK = "#SBATCH"
+SCRIPT_OPTION_PREFIX = "#SBATCH"
 
-REFUSED = {
+REFUSED_OPTIONS = {
     "nodes": "a task takes one machine; say --ntasks",
     "nodelist": "machines come and go; say --zone or --partition",
     "exclude": "machines come and go; failed ones are avoided without being told",
@@ -57,12 +57,12 @@
     """What was typed cannot be submitted; the message says what to change."""
 
 
-class _Parser(argparse.ArgumentParser):
+class _SubmissionParser(argparse.ArgumentParser):
     def error(self, message: str) -> NoReturn:
         raise SubmissionError(message)
 
 
-class _Refuse(argparse.Action):
+class _RefusingAction(argparse.Action):
     def __init__(self, *args: Any, why: str = "", **kwargs: Any) -> None:
         kwargs["nargs"] = "?"
         super().__init__(*args, **kwargs)
@@ -78,7 +78,7 @@
         raise SubmissionError(f"{option_string}: not to be had here: {self.why}")
 
 
-def _checked(parse: Callable[[str], Any]) -> Callable[[str], Any]:
+def _argument_type(parse: Callable[[str], Any]) -> Callable[[str], Any]:
     def convert(text: str) -> Any:
         try:
             return parse(text)
@@ -88,13 +88,13 @@
     return convert
 
 
-def _positive(text: str) -> int:
+def _parse_positive(text: str) -> int:
     if not text.isdecimal() or int(text) < 1:
         raise values.ValueFormatError(f"{text!r} is no number from 1 on")
     return int(text)
 
 
-def _amount(text: str) -> float:
+def _parse_amount(text: str) -> float:
     try:
         found = float(text)
     except ValueError as error:
@@ -104,45 +104,64 @@
     return found
 
 
-def parser() -> argparse.ArgumentParser:
+def make_parser() -> argparse.ArgumentParser:
     """The options of a job."""
-    made = _Parser(prog="bsbatch", description="Submit a batch job.", allow_abbrev=False)
+    made = _SubmissionParser(prog="bsbatch", description="Submit a batch job.", allow_abbrev=False)
     add = made.add_argument
     add("-J", "--job-name")
     add("-A", "--account", help=f"the team ({ACCOUNT_VARIABLE} if not given)")
     add("-q", "--qos", choices=sorted(PRIORITIES), help="the rank (default normal)")
-    add("-n", "--ntasks", type=_checked(_positive), help="tasks that run only together")
-    add("-a", "--array", type=_checked(values.array), help="0-99, 0-99%%10, 1,3,5")
-    add("-c", "--cpus-per-task", type=_checked(_positive), help="default 1")
-    add("--mem", type=_checked(values.memory_gb), help="of a task: 4G, 512M (default 1G)")
-    add("--mem-per-cpu", type=_checked(values.memory_gb))
-    add("-G", "--gpus", "--gpus-per-task", type=_checked(_positive), help="of a task")
-    add("-t", "--time", type=_checked(values.seconds), help="how long a task runs, as you guess")
+    add("-n", "--ntasks", type=_argument_type(_parse_positive), help="tasks that run only together")
+    add("-a", "--array", type=_argument_type(values.parse_array), help="0-99, 0-99%%10, 1,3,5")
+    add("-c", "--cpus-per-task", type=_argument_type(_parse_positive), help="default 1")
+    add(
+        "--mem",
+        type=_argument_type(values.parse_memory_gb),
+        help="of a task: 4G, 512M (default 1G)",
+    )
+    add("--mem-per-cpu", type=_argument_type(values.parse_memory_gb))
+    add("-G", "--gpus", "--gpus-per-task", type=_argument_type(_parse_positive), help="of a task")
+    add(
+        "-t",
+        "--time",
+        type=_argument_type(values.parse_duration_s),
+        help="how long a task runs, as you guess",
+    )
     add("--deadline", help="when it should be complete: now+2hours, 16:00, a date")
     add("-b", "--begin", help="not before: now+2hours, 16:00, a date")
-    add("-d", "--dependency", type=_checked(values.dependency))
+    add("-d", "--dependency", type=_argument_type(values.parse_dependencies))
     add("-H", "--hold", action="store_true", default=None)
-    add("-C", "--constraint", help=f"of {', '.join(FEATURES)}, joined by &")
+    add("-C", "--constraint", help=f"of {', '.join(CONSTRAINTS)}, joined by &")
     add("-p", "--partition", help="machine types, with commas")
     add("--zone", help="the only zone")
     add("--container", help="the image (default: the job's name)")
-    add("--image-gb", type=_checked(_amount), help="its size")
-    add("--checkpoint", type=_checked(values.seconds), help="a task saves by itself so often")
-    add("--save-time", type=_checked(_amount), help="seconds that a task needs to save")
+    add("--image-gb", type=_argument_type(_parse_amount), help="its size")
+    add(
+        "--checkpoint",
+        type=_argument_type(values.parse_duration_s),
+        help="a task saves by itself so often",
+    )
+    add("--save-time", type=_argument_type(_parse_amount), help="seconds that a task needs to save")
     add("--job-class", help="what operators' aims name (default: the job's name)")
     add("--service", action="store_true", default=None, help="tasks run until cancelled")
     add("--requeue", action="store_true", default=None, help="always so")
     add("--comment")
-    for name, why in REFUSED.items():
+    for name, why in REFUSED_OPTIONS.items():
         short = {"nodes": ["-N"], "nodelist": ["-w"], "output": ["-o"], "error": ["-e"]}
         short |= {"exclude": ["-x"], "chdir": ["-D"], "input": ["-i"], "licenses": ["-L"]}
-        add(*short.get(name, []), f"--{name}", action=_Refuse, why=why, help=argparse.SUPPRESS)
+        add(
+            *short.get(name, []),
+            f"--{name}",
+            action=_RefusingAction,
+            why=why,
+            help=argparse.SUPPRESS,
+        )
     return made
 
 
-def command_parser() -> argparse.ArgumentParser:
+def make_command_parser() -> argparse.ArgumentParser:
     """The options of a job and of the command itself."""
-    made = parser()
+    made = make_parser()
     made.add_argument("script", nargs="?", help="a script with #SBATCH lines, - for standard input")
     made.add_argument("--wrap", help="instead of a script")
     made.add_argument("--parsable", action="store_true", help="print the number alone")
@@ -157,9 +176,9 @@
     found: list[str] = []
     for number, line in enumerate(text.splitlines(), 1):
         bare = line.strip()
-        if bare.startswith(MARK):
+        if bare.startswith(SCRIPT_OPTION_PREFIX):
             try:
-                found += shlex.split(bare[len(MARK) :], comments=True)
+                found += shlex.split(bare[len(SCRIPT_OPTION_PREFIX) :], comments=True)
             except ValueError as error:
                 raise SubmissionError(f"line {number}: {error}") from error
         elif bare and not bare.startswith("#"):
@@ -172,7 +191,7 @@
     """A job, but for what only the service can tell: its number and those of its dependencies."""
 
     options: argparse.Namespace
-    depends: values.Depends | None
+    depends: values.DependencyList | None
 
     def submission(
         self, job_id: str, depends: list[Dependency], nonce: str, now: datetime
@@ -180,17 +199,17 @@
         """The job as the service takes it."""
         o = self.options
         name = o.job_name or "batch"
-        features = _features(o.constraint)
-        array: values.Array | None = o.array
+        features = _parse_constraints(o.constraint)
+        array: values.ArrayIndices | None = o.array
         tasks = array.count if array is not None else o.ntasks or 1
         cpus = float(o.cpus_per_task or 1)
         memory = o.mem or (o.mem_per_cpu * cpus if o.mem_per_cpu else 1.0)
         gang = array is None and tasks > 1 and not o.service
         terms = Terms(
             name,
-            _user(),
+            _user_name(),
             bool(o.hold),
-            None if o.begin is None else _time(values.begin, o.begin, now).timestamp(),
+            None if o.begin is None else _parse_time(values.parse_begin, o.begin, now).timestamp(),
             None if array is None else array.throttle,
             depends,
             self.depends.any if self.depends else False,
@@ -202,7 +221,7 @@
         )
         due = None
         if o.deadline is not None:
-            due = (_time(values.begin, o.deadline, now) - now).total_seconds()
+            due = (_parse_time(values.parse_begin, o.deadline, now) - now).total_seconds()
             if due <= 0:
                 raise SubmissionError(f"--deadline: {o.deadline!r} is not in the future")
         return Submission(
@@ -230,10 +249,10 @@
         )
 
 
-def draft(command: argparse.Namespace, script: str) -> Draft:
+def make_draft(command: argparse.Namespace, script: str) -> Draft:
     """The options of the script and of the command line, the latter first; Problem if they cannot
     be taken."""
-    options = parser().parse_args(script_options(script))
+    options = make_parser().parse_args(script_options(script))
     for name in vars(options):
         given = getattr(command, name, None)
         if given is not None:
@@ -251,7 +270,7 @@
         raise SubmissionError(
             "--service: runs until it is cancelled; it takes no --array and no --time"
         )
-    features = _features(options.constraint)
+    features = _parse_constraints(options.constraint)
     if {"ordinary", "spot"} <= features:
         raise SubmissionError("--constraint: ordinary and spot exclude one another")
     if {"onezone", "scatter"} <= features:
@@ -278,32 +297,34 @@
     return text
 
 
-def parse(arguments: Sequence[str]) -> argparse.Namespace:
+def parse_command(arguments: Sequence[str]) -> argparse.Namespace:
     """The command line of bsbatch; Problem if it cannot be taken."""
-    found = command_parser().parse_args(arguments)
+    found = make_command_parser().parse_args(arguments)
     if found.script_args:
         raise SubmissionError("arguments of the script: the service sends none to tasks yet")
     return found
 
 
-def _features(text: str | None) -> set[str]:
+def _parse_constraints(text: str | None) -> set[str]:
     found = set() if text is None else {part.strip().lower() for part in text.split("&")}
-    unknown = sorted(found - set(FEATURES))
+    unknown = sorted(found - set(CONSTRAINTS))
     if unknown:
         raise SubmissionError(
-            f"--constraint: {', '.join(unknown)}: there are {', '.join(FEATURES)}"
+            f"--constraint: {', '.join(unknown)}: there are {', '.join(CONSTRAINTS)}"
         )
     return found
 
 
-def _time(parse_time: Callable[[str, datetime], datetime], text: str, now: datetime) -> datetime:
+def _parse_time(
+    parse_time: Callable[[str, datetime], datetime], text: str, now: datetime
+) -> datetime:
     try:
         return parse_time(text, now)
     except values.ValueFormatError as error:
         raise SubmissionError(str(error)) from error
 
 
-def _user() -> str:
+def _user_name() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/badgerseam/slurm/table.py
+++ b/badgerseam/slurm/table.py
@@ -22,16 +22,16 @@
 
     letter: str
     name: str
-    head: str
+    header: str
     value: Callable[[R], str]
 
 
 @dataclass(frozen=True, slots=True)
-class _Column(Generic[R]):
+class Column(Generic[R]):
     field: Field[R]
     width: int | None
     right: bool
-    before: str
+    prefix: str
 
 
 class Table(Generic[R]):
@@ -41,16 +41,16 @@
         self._letters: Mapping[str, Field[R]] = {f.letter: f for f in fields if f.letter}
         self._names: Mapping[str, Field[R]] = {f.name.lower(): f for f in fields}
 
-    def short(self, text: str) -> list[_Column[R]]:
+    def columns_by_letter(self, text: str) -> list[Column[R]]:
         """Columns of a format such as "%.18i %.9P %j"."""
-        columns: list[_Column[R]] = []
+        columns: list[Column[R]] = []
         end = 0
         for found in re.finditer(r"%(\.?)(\d*)([A-Za-z])", text):
             if found[3] not in self._letters:
                 known = " ".join(f"%{letter}" for letter in sorted(self._letters))
                 raise TableFormatError(f"%{found[3]}: no such field; there are {known}")
             columns.append(
-                _Column(
+                Column(
                     self._letters[found[3]],
                     int(found[2]) if found[2] else None,
                     bool(found[1]),
@@ -62,9 +62,9 @@
             raise TableFormatError(f"{text!r} names no field such as %i")
         return columns
 
-    def long(self, text: str) -> list[_Column[R]]:
+    def columns_by_name(self, text: str) -> list[Column[R]]:
         """Columns of a format such as "JobID:10,Name,State"."""
-        columns: list[_Column[R]] = []
+        columns: list[Column[R]] = []
         for part in text.split(","):
             name, colon, width = part.strip().partition(":")
             right = width.startswith(".")
@@ -73,26 +73,26 @@
                 known = ", ".join(field.name for field in self._names.values())
                 raise TableFormatError(f"{part!r}: no such field; there are {known}")
             size = int(width) if colon else 20
-            columns.append(_Column(self._names[name.lower()], size, right, " " * bool(columns)))
+            columns.append(Column(self._names[name.lower()], size, right, " " * bool(columns)))
         return columns
 
-    def text(self, columns: Sequence[_Column[R]], rows: Sequence[R], head: bool) -> str:
+    def render(self, columns: Sequence[Column[R]], rows: Sequence[R], head: bool) -> str:
         """The table as it is printed."""
         lines = []
         if head:
-            lines.append("".join(c.before + _fit(c.field.head, c) for c in columns))
+            lines.append("".join(c.prefix + _fit(c.field.header, c) for c in columns))
         for row in rows:
-            lines.append("".join(c.before + _fit(c.field.value(row), c) for c in columns))
+            lines.append("".join(c.prefix + _fit(c.field.value(row), c) for c in columns))
         return "\n".join(line.rstrip() for line in lines)
 
-    def parsable(self, columns: Sequence[_Column[R]], rows: Sequence[R], head: bool) -> str:
+    def render_parsable(self, columns: Sequence[Column[R]], rows: Sequence[R], head: bool) -> str:
         """Fields joined by |, as --parsable2 of Slurm's commands."""
-        lines = ["|".join(c.field.head for c in columns)] if head else []
+        lines = ["|".join(c.field.header for c in columns)] if head else []
         lines += ["|".join(c.field.value(row) for c in columns) for row in rows]
         return "\n".join(lines)
 
 
-def _fit(text: str, column: _Column[R]) -> str:
+def _fit(text: str, column: Column[R]) -> str:
     if column.width is None:
         return text
     text = text[: column.width]
--- a/badgerseam/slurm/values.py
+++ b/badgerseam/slurm/values.py
@@ -11,14 +11,14 @@
 
 MAX_TASKS = 100_000
 UNITS_GB = {"K": 1 / 1024**2, "M": 1 / 1024, "G": 1.0, "T": 1024.0}
-SECONDS = {"second": 1, "minute": 60, "hour": 3600, "day": 86400, "week": 604800}
+UNIT_SECONDS = {"second": 1, "minute": 60, "hour": 3600, "day": 86400, "week": 604800}
 
 
 class ValueFormatError(BadgerseamError, ValueError):
     """A value cannot be used; the message says what one looks like."""
 
 
-def memory_gb(text: str) -> float:
+def parse_memory_gb(text: str) -> float:
     """4G, 512M, 2048 (megabytes)."""
     found = re.fullmatch(r"(\d+(?:\.\d+)?)([KMGT]?)B?", text.strip(), re.IGNORECASE)
     if found is None or float(found[1]) == 0:
@@ -26,7 +26,7 @@
     return float(found[1]) * UNITS_GB[found[2].upper() or "M"]
 
 
-def seconds(text: str) -> float:
+def parse_duration_s(text: str) -> float:
     """30 (minutes), 30:00, 1:30:00, 2-12, 2-12:30, 2-12:30:00."""
     problem = ValueFormatError(f"{text!r} is no time such as 30, 30:00, 1:30:00 or 2-12:00:00")
     days, dash, rest = text.strip().partition("-")
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Array:
+class ArrayIndices:
     """Indices first, first + step, ... of an array, and how many run at once."""
 
     first: int
@@ -58,7 +58,7 @@
     throttle: int | None = None
 
 
-def array(text: str) -> Array:
+def parse_array(text: str) -> ArrayIndices:
     """0-99, 1-9:2, 0,2,4 and each with %10."""
     problem = ValueFormatError(f"{text!r} is no array such as 0-99, 0-99%10 or 0-30:10")
     body, percent, limit = text.strip().partition("%")
@@ -89,21 +89,21 @@
             )
     if len(indices) > MAX_TASKS:
         raise ValueFormatError(f"{text!r}: an array has at most {MAX_TASKS} tasks")
-    return Array(first, step, len(indices), throttle)
+    return ArrayIndices(first, step, len(indices), throttle)
 
 
-def begin(text: str, now: datetime) -> datetime:
+def parse_begin(text: str, now: datetime) -> datetime:
     """now+2hours, 16:00, tomorrow, 2026-12-24T08:00."""
     text = text.strip()
     found = re.fullmatch(r"now(?:\+(\d+)\s*([a-z]*))?", text, re.IGNORECASE)
     if found is not None:
         unit = (found[2] or "second").lower().rstrip("s")
-        matching = [name for name in SECONDS if name.startswith(unit)]
+        matching = [name for name in UNIT_SECONDS if name.startswith(unit)]
         if not matching:
             raise ValueFormatError(
                 f"{text!r}: {found[2]!r} is none of seconds, minutes, hours, days"
             )
-        return now + timedelta(seconds=int(found[1] or 0) * SECONDS[matching[0]])
+        return now + timedelta(seconds=int(found[1] or 0) * UNIT_SECONDS[matching[0]])
     days = {"today": 0, "midnight": 1, "tomorrow": 1}
     if text.lower() in days:
         midnight = now.replace(hour=0, minute=0, second=0, microsecond=0)
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Depends:
+class DependencyList:
     """Dependencies by job number, as typed."""
 
     entries: list[tuple[str, str]]
@@ -135,10 +135,10 @@
     singleton: bool
 
 
-KINDS = ("after", "afterany", "afterok", "afternotok")
+DEPENDENCY_KINDS = ("after", "afterany", "afterok", "afternotok")
 
 
-def dependency(text: str) -> Depends:
+def parse_dependencies(text: str) -> DependencyList:
     """afterok:12:13,afterany:14 (all of them), with ? instead of commas (any), singleton."""
     if "," in text and "?" in text:
         raise ValueFormatError(f"{text!r}: either commas (all) or question marks (any)")
@@ -150,9 +150,9 @@
         if kind == "singleton" and not jobs:
             singleton = True
             continue
-        if kind not in KINDS:
+        if kind not in DEPENDENCY_KINDS:
             raise ValueFormatError(
-                f"{part!r}: {kind} is not kept here; there are {', '.join(KINDS)}, singleton"
+                f"{part!r}: {kind} is not kept here; there are {', '.join(DEPENDENCY_KINDS)}, singleton"
             )
         if not jobs:
             raise ValueFormatError(f"{part!r}: name a job, such as {kind}:1000123")
@@ -162,9 +162,9 @@
             entries.append((kind, job.partition("_")[0]))
     if singleton and some:
         raise ValueFormatError(f"{text!r}: singleton cannot be one of several that suffice")
-    return Depends(entries, some, singleton)
+    return DependencyList(entries, some, singleton)
 
 
-def resolved(depends: Depends, ids: dict[str, str]) -> list[Dependency]:
+def resolve_dependencies(depends: DependencyList, ids: dict[str, str]) -> list[Dependency]:
     """The dependencies with the service's own ids."""
     return [Dependency(kind, ids[job]) for kind, job in depends.entries]  # type: ignore[arg-type]
