--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -381,7 +381,7 @@
                     if own.owned:
                         model.shards_to_plan.add(own.index)
                 if lacks_addresses(model):
-                    self.fleet.learn_addresses()
+                    self.fleet.machine_list.learn_addresses()
                 self.worker_manager.heartbeat_reception.check()
                 self.watch_health.check()
                 self.heartbeat_proxy.review()
@@ -434,8 +434,8 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self.state_watcher.run())
             group.create_task(self.membership.keep_lease())
-            group.create_task(self.fleet.keep_types())
-            group.create_task(self.fleet.keep_list())
+            group.create_task(self.fleet.machine_types.keep_published())
+            group.create_task(self.fleet.machine_list.keep_compared())
             group.create_task(self.fleet.keep_fleet())
             group.create_task(self.peers.keep_health())
             if self.standby is not None:
--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -1,4 +1,4 @@
-"""How many machines are missing, and of which kind: pure functions over a snapshot."""
+"""How many machines are missing, and of which type: pure functions over a snapshot."""
 
 from __future__ import annotations
 
@@ -10,29 +10,30 @@
 
 SIZE_WEIGHT = 0.2
 """A machine of twice the size may cost 2**SIZE_WEIGHT as much for each slot that will be used."""
-
+CROWDED_ZONE_WEIGHT = 0.02
+"""How much each task of a job in a zone adds to the price there, if the job spreads over zones."""
 
 Level = tuple[int, int]
-"""Rank, negated, and priority class: less goes first, across shares too."""
+"""Rank, negated, and priority class: the lowest goes first, across shards too."""
 
 
 def level_of(request: pts.Request) -> Level:
-    """What decides between shares, where classes are kept."""
+    """What decides between shards, where priority classes are declared."""
     return -request.rank, request.priority_class
 
 
-def _turn(request: pts.Request) -> tuple[float, ...]:
+def _demand_order(request: pts.Request) -> tuple[float, ...]:
     return (*level_of(request), request.order)
 
 
-def in_turn(requests: list[pts.Request]) -> list[pts.Request]:
-    """Requests by level, where classes are kept; else as they are."""
+def in_level_order(requests: list[pts.Request]) -> list[pts.Request]:
+    """Requests by level, where priority classes are declared; else in the given order."""
     return sorted(requests, key=level_of) if any(r.priority_class for r in requests) else requests
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """What can be asked of the cloud."""
+    """What can be rented from the cloud."""
 
     type: str
     zone: str
@@ -41,13 +42,15 @@
 
 @dataclass(slots=True)
 class Option:
+    """An offer with the size and the price of a machine."""
+
     offer: Offer
     total: Resources
     price: float
 
 
 def options(types: dict[str, MachineType], blocked: set[Offer]) -> list[Option]:
-    """All that may be rented now, at present prices."""
+    """All that may be rented now, at present prices; `blocked` offers are left out."""
     found = []
     for entry in types.values():
         total = Resources(entry.cpus, entry.gpus, entry.memory_gb)
@@ -62,16 +65,19 @@
 
 @dataclass(slots=True)
 class _UnplacedTasks:
+    """Tasks of one request that have not been counted into a machine yet."""
+
     request: pts.Request
     count: int
     zones: dict[str, int]
+    """The job's tasks by zone, those counted into machines included."""
 
 
 class UnplacedDemand:
-    """Tasks that found no room, to be counted into machines one after the other.
+    """Tasks that were not placed, to be counted into machines one after the other.
 
-    No plan is made here: whether a machine serves is a matter of amounts and of the jobs' own
-    rules, so that hundreds of machines can be looked at in one go.
+    No plan is made here: only amounts and the jobs' own rules decide whether a machine serves, so
+    that hundreds of machines can be examined in one round.
     """
 
     def __init__(
@@ -81,161 +87,167 @@
         teams: dict[int, pts.TeamUse],
     ) -> None:
         found = [request for request in requests if request.job in waiting]
-        found.sort(key=_turn)
-        self._wants = [
+        found.sort(key=_demand_order)
+        self._unplaced = [
             _UnplacedTasks(r, waiting[r.job], dict(r.zone_counts))
             for r in found
             if r.gang_rules is None
         ]
-        if len(self._wants) < len(found):
-            self._wants += _replicas(found, waiting)
-            self._wants.sort(key=lambda want: _turn(want.request))
-        self._left = {index: team.limit.minus(team.used) for index, team in teams.items()}
-        self._least = least_of(want.request.demand for want in self._wants)
+        if len(self._unplaced) < len(found):
+            self._unplaced += _replicas(found, waiting)
+            self._unplaced.sort(key=lambda tasks: _demand_order(tasks.request))
+        self._quota_left = {index: team.limit.minus(team.used) for index, team in teams.items()}
+        self._min_demand = least_of(tasks.request.demand for tasks in self._unplaced)
 
     def __bool__(self) -> bool:
-        return bool(self._wants)
+        return bool(self._unplaced)
 
     def is_useful(self, node: pts.MachineSnapshot, level: Level | None) -> bool:
-        """Whether anything of a level would go into an empty machine; True if none is given."""
+        """Whether any task of a level would fit on an empty machine; True if no level is given."""
         return level is None or any(
-            level_of(want.request) == level and self._fits(want, node, node.free) > 0
-            for want in self._wants
+            level_of(tasks.request) == level and self._count_fitting(tasks, node, node.free) > 0
+            for tasks in self._unplaced
         )
 
-    def fill(self, node: pts.MachineSnapshot, room: Resources) -> int:
-        """Count tasks into the room on a machine; how many went in."""
+    def fill(self, node: pts.MachineSnapshot, free: Resources) -> int:
+        """Count tasks into the free capacity of a machine; how many fit."""
         placed = 0
-        emptied = False
-        for want in self._wants:
-            # With a long backlog most machines hold no room for any of it: looking at all of it
+        has_completed = False
+        for tasks in self._unplaced:
+            # With a long backlog most machines have no capacity for any of it: checking all of it
             # on each of them took a quarter of the leader's rounds.
-            if not self._least.fits_in(room):
+            if not self._min_demand.fits_in(free):
                 break
-            count = self._fits(want, node, room)
+            count = self._count_fitting(tasks, node, free)
             if count <= 0:
                 continue
-            request = want.request
-            taken = request.demand.times(count)
-            room = room.minus(taken)
-            self._left[request.team] = self._left[request.team].minus(taken)
-            want.zones[node.zone] = want.zones.get(node.zone, 0) + count
-            want.count -= count
+            request = tasks.request
+            used = request.demand.times(count)
+            free = free.minus(used)
+            self._quota_left[request.team] = self._quota_left[request.team].minus(used)
+            tasks.zones[node.zone] = tasks.zones.get(node.zone, 0) + count
+            tasks.count -= count
             placed += count
-            emptied = emptied or want.count <= 0
-        if emptied:
-            self._wants = [want for want in self._wants if want.count > 0]
-            self._least = least_of(want.request.demand for want in self._wants)
+            has_completed = has_completed or tasks.count <= 0
+        if has_completed:
+            self._unplaced = [tasks for tasks in self._unplaced if tasks.count > 0]
+            self._min_demand = least_of(tasks.request.demand for tasks in self._unplaced)
         return placed
 
-    def _fits(self, want: _UnplacedTasks, node: pts.MachineSnapshot, room: Resources) -> int:
-        request = want.request
-        if not request.demand.fits_in(room) or not pts.job_rules_allow(request, node, want.zones):
+    def _count_fitting(
+        self, tasks: _UnplacedTasks, node: pts.MachineSnapshot, free: Resources
+    ) -> int:
+        """How many of the tasks fit into the free capacity of a machine and the team's limit."""
+        request = tasks.request
+        if not request.demand.fits_in(free) or not pts.job_rules_allow(request, node, tasks.zones):
             return 0
         count = min(
-            want.count,
-            request.demand.count_in(room),
-            request.demand.count_in(self._left[request.team]),
+            tasks.count,
+            request.demand.count_in(free),
+            request.demand.count_in(self._quota_left[request.team]),
         )
         if request.zone_limit is not None:
-            count = min(count, request.zone_limit - want.zones.get(node.zone, 0))
+            count = min(count, request.zone_limit - tasks.zones.get(node.zone, 0))
         return count
 
-    def rent(self, choices: list[Option], most: int) -> list[Offer]:
-        """What to rent for all that is left, by the price of a slot that will be used."""
+    def rent(self, choices: list[Option], max_machines: int) -> list[Offer]:
+        """What to rent for all tasks that are left, by the price of a slot that will be used."""
         rented: list[Offer] = []
-        while self._wants and len(rented) < most:
-            head = self._wants[0]
-            option = self._cheapest(head, choices)
+        while self._unplaced and len(rented) < max_machines:
+            first = self._unplaced[0]
+            option = self._cheapest(first, choices)
             if option is None:
                 # Nothing can be had for it now, or its team may use no more.
-                self._wants.pop(0)
+                self._unplaced.pop(0)
                 continue
-            node = _virtual(option, -1)
-            while len(rented) < most and self.fill(node, node.free) > 0:
+            node = _empty_machine(option, -1)
+            while len(rented) < max_machines and self.fill(node, node.free) > 0:
                 rented.append(option.offer)
-                if head.request.gang_rules is not None and head.request.gang_rules.same_type:
-                    head.request = replace(head.request, types=frozenset({option.offer.type}))
-                if head.request.zone_limit is not None or not (self and self._wants[0] is head):
+                if first.request.gang_rules is not None and first.request.gang_rules.same_type:
+                    first.request = replace(first.request, types=frozenset({option.offer.type}))
+                is_first = bool(self) and self._unplaced[0] is first
+                if first.request.zone_limit is not None or not is_first:
                     break
         return rented
 
-    def _alike(self, node: pts.MachineSnapshot, most: int) -> int:
-        """How many of the tasks a machine may take, as far as that matters."""
-        found = 0
-        for want in self._wants:
-            if found >= most:
+    def _count_allowed(self, node: pts.MachineSnapshot, max_count: int) -> int:
+        """How many of the tasks the jobs' rules allow on a machine, counted up to a maximum."""
+        count = 0
+        for tasks in self._unplaced:
+            if count >= max_count:
                 break
-            if pts.job_rules_allow(want.request, node, want.zones):
-                found += want.count
-        return found
+            if pts.job_rules_allow(tasks.request, node, tasks.zones):
+                count += tasks.count
+        return count
 
-    def _cheapest(self, head: _UnplacedTasks, choices: list[Option]) -> Option | None:
+    def _cheapest(self, first: _UnplacedTasks, choices: list[Option]) -> Option | None:
+        """The option of the least price for each task that will use it; None if there is none."""
         best: Option | None = None
         best_price = 0.0
         for option in choices:
-            node = _virtual(option, -1)
-            each = self._fits(head, node, option.total)
-            if each <= 0:
+            node = _empty_machine(option, -1)
+            if self._count_fitting(first, node, option.total) <= 0:
                 continue
-            # What others would use of it makes a large machine worth its price.
-            each = head.request.demand.count_in(option.total)
-            alike = self._alike(node, each)
-            crowd = head.zones.get(option.offer.zone, 0) if head.request.zone_limit else 0
-            price = option.price / min(each, alike) * (1 + 0.02 * crowd)
-            # A large machine holds images for more tasks, and leaves less room unused.
+            # What other tasks would use of it makes a large machine worth its price.
+            per_machine = first.request.demand.count_in(option.total)
+            users = min(per_machine, self._count_allowed(node, per_machine))
+            price = option.price / users
+            if first.request.zone_limit:
+                crowd = first.zones.get(option.offer.zone, 0)
+                price *= 1 + CROWDED_ZONE_WEIGHT * crowd
+            # A large machine holds images for more tasks, and leaves less capacity unused.
             price /= (option.total.gpus or option.total.cpus) ** SIZE_WEIGHT
             if best is None or price < best_price:
                 best, best_price = option, price
         return best
 
 
-def _replicas(found: list[pts.Request], waiting: dict[int, int]) -> list[_UnplacedTasks]:
-    """The replicas that span machines and found no room, each to be rented for as a whole."""
-    left = dict(waiting)
-    wants = []
+def _replicas(requests: list[pts.Request], waiting: dict[int, int]) -> list[_UnplacedTasks]:
+    """The replicas that span machines and were not placed, each to be rented for as a whole."""
+    remaining = dict(waiting)
+    found = []
     # Of replicas that are alike the first ones were placed.
-    for request in reversed(found):
-        span = request.gang_rules
-        if span is None or left[request.job] <= 0:
+    for request in reversed(requests):
+        rules = request.gang_rules
+        if rules is None or remaining[request.job] <= 0:
             continue
-        left[request.job] -= request.count
+        remaining[request.job] -= request.count
         zones = dict(request.zone_counts)
-        if span.staying_members and span.same_zone:
-            request = replace(request, zone=span.staying_members[0].zone)
-        elif span.zone is not None:
-            request = replace(request, zone=span.zone)
-        elif span.same_zone:
+        if rules.staying_members and rules.same_zone:
+            request = replace(request, zone=rules.staying_members[0].zone)
+        elif rules.zone is not None:
+            request = replace(request, zone=rules.zone)
+        elif rules.same_zone:
             request = replace(request, one_zone=True)
             zones = {}
-        if span.staying_members and span.same_type:
-            request = replace(request, types=frozenset({span.staying_members[0].type}))
-        wants.append(_UnplacedTasks(request, request.count, zones))
-    return wants[::-1]
+        if rules.staying_members and rules.same_type:
+            request = replace(request, types=frozenset({rules.staying_members[0].type}))
+        found.append(_UnplacedTasks(request, request.count, zones))
+    return found[::-1]
 
 
-def _virtual(option: Option, index: int) -> pts.MachineSnapshot:
+def _empty_machine(option: Option, index: int) -> pts.MachineSnapshot:
     offer = option.offer
     return pts.MachineSnapshot(
         index,
         offer.type,
         offer.zone,
         offer.spot,
-        option.total,
-        option.total,
-        0.0,
-        0.0,
-        0,
-        set(),
+        total=option.total,
+        free=option.total,
+        high_slots=0.0,
+        low_slots=0.0,
+        evictions=0,
+        images=set(),
     )
 
 
 def virtual_node(
     types: dict[str, MachineType], offer: Offer, index: int
 ) -> pts.MachineSnapshot | None:
-    """A machine that was asked for, as if it were there."""
+    """A machine that is being rented, as if it were there; None if its type is not known."""
     entry = types.get(offer.type)
     if entry is None:
         return None
     total = Resources(entry.cpus, entry.gpus, entry.memory_gb)
-    return _virtual(Option(offer, total, entry.price), index)
+    return _empty_machine(Option(offer, total, entry.price), index)
--- a/badgerseam/fleet/evacuation.py
+++ b/badgerseam/fleet/evacuation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from badgerseam.fleet import policy
-from badgerseam.fleet.demand import in_turn
+from badgerseam.fleet.demand import in_level_order
 from badgerseam.model.job import HIGH_RANK
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
@@ -47,7 +47,7 @@
                 continue
             if now - self._vacated_at.get(index, -1e9) < EVACUATION_INTERVAL_S:
                 continue
-            for request in in_turn(snapshot.requests):
+            for request in in_level_order(snapshot.requests):
                 job = model.jobs[request.job]
                 if request.job not in waiting or job is None or job.is_failing:
                     continue
--- /dev/null
+++ b/badgerseam/fleet/machine_list.py
@@ -0,0 +1,165 @@
+"""Compares the cloud's list of machines with the records of them."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable
+
+from badgerseam.cluster.membership import Membership
+from badgerseam.fleet.boot_times import BootTimes
+from badgerseam.fleet.cloud import CloudClient, CloudError
+from badgerseam.fleet.scale_in import ScaleIn
+from badgerseam.fleet.scale_out import ScaleOut
+from badgerseam.model.machine import Machine
+from badgerseam.model.model import Model
+from badgerseam.wire import cloud as cloud_wire
+from badgerseam.wire import state as wire
+
+log = logging.getLogger("badgerseam.fleet")
+
+MIN_CHARGED_S = 60.0
+"""The shortest time for which a machine is charged."""
+MIN_LIST_INTERVAL_S = 1.5
+CALLS_PER_LIST = 4.0
+"""A list is requested at most once in the time of so many calls within the cloud's rate."""
+MISSING_SLACK_S = 5.0
+"""How much longer than twice the list's lag a new machine may be missing from it."""
+ADDRESSES_INTERVAL_S = 2.5
+"""Between requests for the addresses of machines that were taken over."""
+
+
+class MachineList:
+    """Keeps the records in line with the cloud's list, while this controller leads.
+
+    Machines without a record are adopted; those that failed, never boot or are gone are released.
+    """
+
+    def __init__(
+        self,
+        model: Model,
+        member: Membership,
+        cloud: CloudClient,
+        boot_times: BootTimes,
+        scale_out: ScaleOut,
+        scale_in: ScaleIn,
+        spawn: Callable[[Awaitable[object]], None],
+        changed: Callable[[], None],
+    ) -> None:
+        self._model = model
+        self._member = member
+        self._cloud = cloud
+        self._boot_times = boot_times
+        self._scale_out = scale_out
+        self._scale_in = scale_in
+        self._spawn = spawn
+        self._changed = changed
+        self._clock = model.clock
+        self.has_listed = False
+        """A list was seen under this leadership."""
+        self._missing_counts: dict[str, int] = {}
+        """Lists in a row that a machine was missing from, by name."""
+        self._interval_s = MIN_LIST_INTERVAL_S
+        self._addresses_requested_at = -1e9
+
+    def forget(self) -> None:
+        """Another controller leads."""
+        self.has_listed = False
+
+    async def keep_compared(self) -> None:
+        """Compare the cloud's list with the records from time to time, for ever."""
+        params = self._model.settings.params.cloud
+        # Rentals need the calls more than a list that lags behind anyway.
+        self._interval_s = max(MIN_LIST_INTERVAL_S, params.list_lag_s, CALLS_PER_LIST / params.rps)
+        while True:
+            if self._member.is_leader and self._model.loaded:
+                requested_at = self._clock.wall()
+                try:
+                    listed = await self._cloud.machines()
+                except CloudError as error:
+                    log.debug("machine list not fetched error=%s", error)
+                else:
+                    if self._member.is_leader:
+                        self.compare(listed, requested_at)
+                        self.has_listed = True
+            await asyncio.sleep(self._interval_s)
+
+    def compare(self, listed: list[cloud_wire.ListedMachine], requested_at: float) -> None:
+        """Adopt, update and release machines by a list that was requested at a time of day."""
+        model = self._model
+        unrecorded: list[wire.StoredMachine] = []
+        to_release: list[str] = []
+        with model.lock:
+            for entry in listed:
+                machine = model.machine(entry.id)
+                if machine is None:
+                    unrecorded.append(self._new_record(entry))
+                elif self._update_listed(machine, entry):
+                    to_release.append(entry.id)
+            listed_names = {entry.id for entry in listed}
+            for machine in model.machines.values():
+                if self._count_missing(machine, listed_names, requested_at):
+                    log.info("machine not listed any more machine=%s", machine.name)
+                    to_release.append(machine.name)
+            self._scale_out.adopt_unrecorded(unrecorded)
+        self._scale_in.release(to_release)
+
+    def _new_record(self, entry: cloud_wire.ListedMachine) -> wire.StoredMachine:
+        rented_at = round(self._clock.wall() - entry.age_s, 1)
+        return wire.StoredMachine(
+            entry.id, 0, entry.type, entry.zone, entry.spot, entry.addr, rented_at
+        )
+
+    def _update_listed(self, machine: Machine, entry: cloud_wire.ListedMachine) -> bool:
+        """Note a listed machine's address and boot; whether it failed, or never boots."""
+        machine.address = machine.address or entry.addr
+        if entry.state == "running" and not machine.listed_up:
+            machine.listed_up = True
+            self._boot_times.listed_up(machine, entry.age_s, self._interval_s)
+        if entry.state == "failed":
+            log.info("machine failed machine=%s", entry.id)
+            return True
+        if entry.state != "booting" or machine.incarnation > 0:
+            return False
+        # Its first minute is paid for in any case.
+        never_boots = entry.age_s > MIN_CHARGED_S and self._boot_times.never_boots(
+            machine, entry.age_s
+        )
+        if never_boots and not machine.attempts:
+            log.info("machine never booted machine=%s", entry.id)
+            return True
+        return False
+
+    def _count_missing(self, machine: Machine, listed_names: set[str], requested_at: float) -> bool:
+        """Count the lists that a machine is missing from; whether these are too many."""
+        lag_s = self._model.settings.params.cloud.list_lag_s
+        if machine.name in listed_names:
+            self._missing_counts.pop(machine.name, None)
+            return False
+        if requested_at - machine.rented_at <= 2 * lag_s + MISSING_SLACK_S:
+            return False
+        count = self._missing_counts.get(machine.name, 0) + 1
+        self._missing_counts[machine.name] = count
+        # A list may be older than the one before, by up to twice the lag.
+        return count * self._interval_s > 2 * lag_s
+
+    def learn_addresses(self) -> None:
+        """Request the addresses of machines that were taken over, unless one did just now."""
+        now = self._clock.now()
+        if now - self._addresses_requested_at > ADDRESSES_INTERVAL_S:
+            self._addresses_requested_at = now
+            self._spawn(self._learn_addresses())
+
+    async def _learn_addresses(self) -> None:
+        try:
+            listed = await self._cloud.machines()
+        except CloudError as error:
+            log.debug("machine addresses not fetched error=%s", error)
+            return
+        with self._model.lock:
+            for entry in listed:
+                machine = self._model.machine(entry.id)
+                if machine is not None and not machine.address:
+                    machine.address = entry.addr
+                    self._model.machines_to_push.add(machine.index)
+        self._changed()
--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from badgerseam.fleet import policy
+from badgerseam.fleet.consolidation import SETTLED_S
 from badgerseam.model.job import HIGH_RANK, Stage
 from badgerseam.model.keys import claim_key
 from badgerseam.model.machine import Machine
@@ -131,7 +131,7 @@
                 attempt.job.is_service
                 and attempt.stage == Stage.RUNNING
                 and not attempt.stopping
-                and now - attempt.started_at > policy.SETTLED_S / 2
+                and now - attempt.started_at > SETTLED_S / 2
                 for attempt in machine.attempts.values()
             )
         )
--- a/badgerseam/fleet/policy.py
+++ b/badgerseam/fleet/policy.py
@@ -1,343 +1,256 @@
-"""What the leader should do about the machines: a pure function over the shares' snapshots."""
+"""What the leader should do about the machines: a pure function over the shards' snapshots."""
 
 from __future__ import annotations
 
 import math
-from collections import deque
-from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from badgerseam.fleet.capacity_reserve import CapacityReserve
+from badgerseam.fleet.consolidation import RequestOf, machine_to_empty
 from badgerseam.fleet.demand import Level, Offer, Option, UnplacedDemand, level_of
 from badgerseam.model.job import HIGH_RANK
 from badgerseam.model.resources import NOTHING, Resources
-from badgerseam.model.state import Arrival
 from badgerseam.sched import pts
 
-SETTLED_S = 60.0
-"""How long replicas have run before they are moved: a start that is undone soon is none."""
-MAX_CANDIDATES = 4
-GangRulesOf = Callable[[int], pts.Request | None]
 UNLIMITED = Resources(math.inf, math.inf, math.inf)
 
 
-@dataclass(slots=True)
-class CapacityReserve:
-    """Room to be kept for a class whose tasks should start sooner than a machine boots."""
-
-    tasks: int
-    demand: Resources
-    rank: int
-    spot: bool
-    shard: int
-    """Where the class arrives, or most of it."""
-    pooled: bool
-    """Room in other shares will do."""
-
-
 @dataclass(slots=True)
 class FleetDecisions:
+    """What to do about machines, which are named by their index; shards by theirs."""
+
     moves: list[tuple[int, int]] = field(default_factory=list)
-    """Machines to be passed on, with the share that needs them."""
+    """Machines to be moved, with the shard that needs them."""
     rents: list[tuple[Offer, int]] = field(default_factory=list)
+    """Machines to be rented, with the shard that needs them."""
     surplus: list[int] = field(default_factory=list)
     """Empty machines that nothing needs."""
     evacuate: list[tuple[int, int]] = field(default_factory=list)
-    """Machines whose replicas others have room for, with their share."""
+    """Machines whose replicas fit on others, with their shard."""
     waiting: list[dict[int, int]] = field(default_factory=list)
-    """Of each share, the tasks a job that found no room on its machines."""
-
-
-ARRIVAL_WINDOWS = 4
-"""Windows after which an arrival does not count any more."""
-
-
-def drop_old_arrivals(arrivals: deque[Arrival], now: float, window_s: float) -> None:
-    """Drop the arrivals that are too old to count. They are nearly in order; one that came out of
-    it goes when it is the oldest."""
-    while arrivals and now - arrivals[0].at > ARRIVAL_WINDOWS * window_s:
-        arrivals.popleft()
-
-
-def reserves(
-    arrivals: deque[Arrival],
-    waits: dict[str | None, float],
-    boot_s: float,
-    now: float,
-    window_s: float,
-    spreads: tuple[float, float],
-    class_of: Callable[[Arrival], int] | None = None,
-) -> list[CapacityReserve]:
-    """How much room the arrivals of the last while call for, by class.
-
-    `waits`: how soon work of a class should start; None: any work within its team's guarantee.
-
-    Departures make up for the mean of the arrivals; what is kept is some standard deviations of the
-    tasks that arrive while a machine boots, as if jobs came at random: `spreads` for classes that
-    only the guarantee covers, and for those with an aim of their own. Older arrivals count
-    less, so that the reserve goes when a class falls silent.
-    """
-    found = []
-    by_class: dict[str, list[Arrival]] = {}
-    for arrival in arrivals:
-        if now - arrival.at <= ARRIVAL_WINDOWS * window_s:
-            by_class.setdefault(arrival.job_class, []).append(arrival)
-
-    def turn(item: tuple[str, list[Arrival]]) -> tuple[int, int]:
-        last = item[1][-1]
-        return -last.rank, 0 if class_of is None else class_of(last)
-
-    # The classes of the highest rank choose first, of a rank the highest priority class.
-    for job_class, recent in sorted(by_class.items(), key=turn):
-        if min(waits.get(job_class, math.inf), waits.get(None, math.inf)) >= boot_s:
-            continue
-        by_shard: dict[int, list[Arrival]] = {}
-        for arrival in recent:
-            by_shard.setdefault(arrival.shard, []).append(arrival)
-        if recent[-1].spot:
-            # Cheap machines stand empty and can be moved: one reserve serves all shares.
-            most = max(by_shard, key=lambda shard: sum(a.tasks for a in by_shard[shard]))
-            groups = [(most, True, recent)]
-        else:
-            groups = [(shard, False, came) for shard, came in by_shard.items()]
-        for shard, pooled, came in groups:
-            squares = sum(a.tasks**2 * math.exp((a.at - now) / window_s) for a in came)
-            deviation = math.sqrt(squares * boot_s / window_s)
-            last = came[-1]
-            spread = spreads[waits.get(job_class, math.inf) < boot_s]
-            found.append(
-                CapacityReserve(
-                    round(spread * deviation), last.need, last.rank, last.spot, shard, pooled
-                )
-            )
-    return found
+    """For each shard the unplaced tasks by job."""
 
 
 def decide(
     snapshots: list[pts.Snapshot],
     empty: set[int],
     idle: set[int],
-    kept: list[CapacityReserve],
+    reserves: list[CapacityReserve],
     choices: list[Option],
-    most: int,
-    horizon_s: float = 0.0,
-    rules: GangRulesOf | None = None,
-    cautious: int | None = None,
+    max_machines: int,
+    boot_s: float = 0.0,
+    request_of: RequestOf | None = None,
+    cautious_below: int | None = None,
 ) -> FleetDecisions:
-    """Moves first, then rents for waiting work, then the reserve; what is left over is surplus.
+    """Moves first, then rentals for waiting work, then the reserve; what is left over is surplus.
 
-    `empty`: machines with nothing on them; `idle`: those that have been so for long enough;
-    `horizon_s`: how long a machine boots, so that room that is free by then is as good as a new
-    one; `rules`: the request of a job, without which no replica is moved; `cautious`: for priority
-    classes below this one nothing is moved now, what claims a guarantee aside.
+    `empty`: machines without any work; `idle`: those that have been empty for long enough;
+    `choices`: what may be rented; `max_machines`: bound on moves and on rentals for each shard;
+    `boot_s`: duration of a boot, so that capacity that is free by then is as good as a new machine;
+    `request_of`: without it no replica is moved; `cautious_below`: nothing is moved now for lower
+    priority classes than this one, except for claims to a guarantee.
     """
-    result = FleetDecisions()
-    plans = [pts.plan(snapshot, evict=False) for snapshot in snapshots]
-    result.waiting = [plan.waiting for plan in plans]
-    free = {node.index: node.free for plan in plans for node in plan.nodes}
-    spare = _spare_machines(snapshots, plans, empty)
-    levels = _levels(snapshots, plans, cautious)
-    order = sorted(
-        range(len(snapshots)), key=lambda index: _turn(snapshots[index], plans[index], levels)
-    )
-    wanting = {
-        index: UnplacedDemand(snapshots[index].requests, plans[index].waiting, plans[index].teams)
-        for index in order
-        if plans[index].waiting
-    }
-    # What waits in one share goes before what is of a lower class in all the others.
-    for level in [None] if levels is None else levels:
-        for index, wants in wanting.items():
-            for node, origin in list(spare.values()):
-                if not wants or len(result.moves) >= most:
-                    break
-                if origin != index and wants.is_useful(node, level) and wants.fill(node, node.free):
-                    del spare[node.index]
-                    del free[node.index]
-                    result.moves.append((node.index, index))
-    for index, wants in wanting.items():
-        plan = plans[index]
-        for node in plan.nodes if wants else ():
-            room = _freed_soon(node, snapshots[index].now, horizon_s)
-            if room is not None:
-                wants.fill(node, room)
-        result.rents += [(offer, index) for offer in wants.rent(choices, most)]
-    _reserve(result, plans, free, kept, choices, most)
-    for plan in plans:
-        for node in plan.nodes:
-            if node.index in idle and node.index in spare and free[node.index] == node.total:
-                result.surplus.append(node.index)
-    if rules is not None and not any(not offer.spot for offer, _ in result.rents):
-        for index, plan in enumerate(plans):
-            if not plan.waiting:
-                found = _evacuable(plan.nodes, free, snapshots[index].now, rules)
-                result.evacuate += [(node.index, index) for node in found]
-    return result
+    decision = _Decision(snapshots, empty, max_machines)
+    decision.move_spare_machines(cautious_below)
+    decision.rent_for_waiting_work(choices, boot_s)
+    for position, reserve in enumerate(reserves):
+        decision.reserve_capacity(position, reserve, choices)
+    decision.find_surplus(idle)
+    if request_of is not None:
+        decision.consolidate(request_of)
+    return decision.result
+
+
+class _Decision:
+    """The steps of one decision, each of which leaves less for the next one."""
+
+    def __init__(self, snapshots: list[pts.Snapshot], empty: set[int], max_machines: int) -> None:
+        self._snapshots = snapshots
+        self._max_machines = max_machines
+        self._plans = [pts.plan(snapshot, evict=False) for snapshot in snapshots]
+        self.result = FleetDecisions(waiting=[plan.waiting for plan in self._plans])
+        self._free = {node.index: node.free for plan in self._plans for node in plan.nodes}
+        """Free capacity by machine after the plans and the reserves so far, without moved ones."""
+        self._spare = _spare_machines(snapshots, self._plans, empty)
+        """Empty machines that are not needed in their shard, with that shard."""
+        self._unplaced: dict[int, UnplacedDemand] = {}
+        """By shard, in the order in which shards get machines."""
+
+    def move_spare_machines(self, cautious_below: int | None) -> None:
+        """Move empty machines to the shards in which work waits."""
+        levels = _waiting_levels(self._snapshots, self._plans, cautious_below)
+        order = sorted(
+            range(len(self._snapshots)),
+            key=lambda shard: _shard_order(self._snapshots[shard], self._plans[shard], levels),
+        )
+        for shard in order:
+            plan = self._plans[shard]
+            if plan.waiting:
+                requests = self._snapshots[shard].requests
+                self._unplaced[shard] = UnplacedDemand(requests, plan.waiting, plan.teams)
+        # What waits in one shard goes before what is of a lower class in all the others.
+        for level in [None] if levels is None else levels:
+            for shard, unplaced in self._unplaced.items():
+                self._move_to(shard, unplaced, level)
+
+    def _move_to(self, shard: int, unplaced: UnplacedDemand, level: Level | None) -> None:
+        for node, origin in list(self._spare.values()):
+            if not unplaced or len(self.result.moves) >= self._max_machines:
+                break
+            if origin == shard or not unplaced.is_useful(node, level):
+                continue
+            if unplaced.fill(node, node.free):
+                del self._spare[node.index]
+                del self._free[node.index]
+                self.result.moves.append((node.index, shard))
+
+    def rent_for_waiting_work(self, choices: list[Option], boot_s: float) -> None:
+        """Rent for what does not fit into the capacity that is free before a machine has booted."""
+        for shard, unplaced in self._unplaced.items():
+            now = self._snapshots[shard].now
+            for node in self._plans[shard].nodes if unplaced else ():
+                free = _free_after(node, now, boot_s)
+                if free is not None:
+                    unplaced.fill(node, free)
+            offers = unplaced.rent(choices, self._max_machines)
+            self.result.rents += [(offer, shard) for offer in offers]
+
+    def reserve_capacity(
+        self, position: int, reserve: CapacityReserve, choices: list[Option]
+    ) -> None:
+        """Reserve free capacity, and rent what is missing."""
+        missing = reserve.tasks
+        if reserve.rank >= HIGH_RANK:
+            slots = pts.slots_of(reserve.demand) or 1.0
+            missing -= int(self._evictable_slots(reserve) / slots)
+        for node in self._machines_for(reserve):
+            if missing <= 0:
+                return
+            count = min(missing, reserve.demand.count_in(self._free[node.index]))
+            self._free[node.index] = self._free[node.index].minus(reserve.demand.times(count))
+            missing -= count
+        if missing > 0:
+            # On-demand machines are not kept idle for work that may run on spot instances.
+            offers = [option for option in choices if option.offer.spot == reserve.spot]
+            request = _reserve_request(position, reserve)
+            unlimited = {0: pts.TeamUse(NOTHING, UNLIMITED, UNLIMITED)}
+            unplaced = UnplacedDemand([request], {request.job: missing}, unlimited)
+            rented = unplaced.rent(offers, self._max_machines)
+            self.result.rents += [(offer, reserve.shard) for offer in rented]
+
+    def _evictable_slots(self, reserve: CapacityReserve) -> float:
+        """Slots of low-priority work that high-priority work of the reserve may evict."""
+        slots = 0.0
+        for shard, plan in enumerate(self._plans):
+            if not reserve.pooled and shard != reserve.shard:
+                continue
+            for node in plan.nodes:
+                if node.index in self._free and (reserve.spot or not node.spot):
+                    slots += node.low_slots
+        return slots
+
+    def _machines_for(self, reserve: CapacityReserve) -> list[pts.MachineSnapshot]:
+        """The machines with free capacity for a reserve, the fullest first."""
+        found: list[pts.MachineSnapshot] = []
+        for shard, plan in enumerate(self._plans):
+            in_shard = reserve.pooled or shard == reserve.shard
+            for node in plan.nodes:
+                free = self._free.get(node.index)
+                if free is None or (node.spot and not reserve.spot):
+                    continue
+                # Empty machines of other shards can be moved when they are needed.
+                if (in_shard or free == node.total) and reserve.demand.fits_in(free):
+                    found.append(node)
+        # Of the empty ones, those with the most images start work the soonest: the others are
+        # released.
+        found.sort(key=lambda node: (node.idle_slots / (node.slots or 1.0), -len(node.images)))
+        return found
+
+    def find_surplus(self, idle: set[int]) -> None:
+        """Release idle machines that neither waiting work nor a reserve needs."""
+        for plan in self._plans:
+            for node in plan.nodes:
+                is_spare = node.index in idle and node.index in self._spare
+                if is_spare and self._free[node.index] == node.total:
+                    self.result.surplus.append(node.index)
+
+    def consolidate(self, request_of: RequestOf) -> None:
+        """Empty a machine of each shard without waiting work, unless on-demand ones are rented."""
+        if any(not offer.spot for offer, _ in self.result.rents):
+            return
+        for shard, plan in enumerate(self._plans):
+            if plan.waiting:
+                continue
+            now = self._snapshots[shard].now
+            node = machine_to_empty(plan.nodes, self._free, now, request_of)
+            if node is not None:
+                self.result.evacuate.append((node.index, shard))
 
 
-def _levels(
-    snapshots: list[pts.Snapshot], plans: list[pts.Plan], cautious: int | None
+def _waiting_levels(
+    snapshots: list[pts.Snapshot], plans: list[pts.Plan], cautious_below: int | None
 ) -> list[Level] | None:
-    """The levels of what waits, the first one first; None where no classes are kept."""
+    """The levels of waiting work, the first one first; None where no classes are declared."""
     if not any(request.priority_class for snapshot in snapshots for request in snapshot.requests):
         return None
-    found = set()
+    levels = set()
     for snapshot, plan in zip(snapshots, plans, strict=True):
         for request in snapshot.requests:
             if request.job not in plan.waiting:
                 continue
             team = plan.teams[request.team]
-            claims = team.used.plus(request.demand).fits_in(team.guarantee)
-            if cautious is None or request.priority_class <= cautious or claims:
-                found.add(level_of(request))
-    return sorted(found)
+            claims_guarantee = team.used.plus(request.demand).fits_in(team.guarantee)
+            is_cautious = cautious_below is not None and request.priority_class > cautious_below
+            if claims_guarantee or not is_cautious:
+                levels.add(level_of(request))
+    return sorted(levels)
 
 
-def _turn(snapshot: pts.Snapshot, plan: pts.Plan, levels: list[Level] | None) -> Level:
-    """Which share goes first: that of the highest rank, or level of what waits."""
+def _shard_order(snapshot: pts.Snapshot, plan: pts.Plan, levels: list[Level] | None) -> Level:
+    """Which shard gets machines first: that of the highest rank, or level of waiting work."""
     if levels is None:
         return -max((request.rank for request in snapshot.requests), default=-1), 0
     waiting = (level_of(r) for r in snapshot.requests if r.job in plan.waiting)
     return min(waiting, default=(1, 0))
 
 
-def _evacuable(
-    nodes: list[pts.MachineSnapshot], free: dict[int, Resources], now: float, rules: GangRulesOf
-) -> list[pts.MachineSnapshot]:
-    """The machine with the least on it, if that is replicas only and others have room for them.
-
-    As replicas leave, the rest lie scattered over machines that are paid for whole. `free` is what
-    the reserve leaves over; room counts where the image is, so that a move takes a moment.
-    """
-    busy = [node for node in nodes if node.running and node.index in free]
-    least = sorted(
-        (
-            node
-            for node in busy
-            if node.idle_slots >= 0.5 * node.slots
-            # A member of a replica that spans machines leaves with all others or not at all.
-            and all(task.group is None for task in node.running)
-            and all(task.is_service and now - task.placed_at > SETTLED_S for task in node.running)
-        ),
-        key=lambda node: node.slots - node.idle_slots,
-    )
-    for node in least[:MAX_CANDIDATES]:
-        used = node.slots - node.idle_slots
-        targets = [
-            other
-            for other in busy
-            if other is not node and other.slots - other.idle_slots >= used and not other.spot
-        ]
-        targets.sort(key=lambda other: other.idle_slots)
-        if _move_all(node, targets, dict(free), rules):
-            return [node]
-    return []
-
-
-def _move_all(
-    node: pts.MachineSnapshot,
-    targets: list[pts.MachineSnapshot],
-    free: dict[int, Resources],
-    rules: GangRulesOf,
-) -> bool:
-    zones: dict[int, dict[str, int]] = {}
+def _free_after(node: pts.MachineSnapshot, now: float, delay_s: float) -> Resources | None:
+    """A machine's free capacity after a delay; None if none of its tasks should end by then."""
+    free = node.free
     for task in node.running:
-        job = task.key[0]
-        request = rules(job)
-        if request is None:
-            return False
-        where = zones.setdefault(job, dict(request.zone_counts))
-        where[node.zone] = where.get(node.zone, 1) - 1
-        for other in targets:
-            if (
-                task.demand.fits_in(free[other.index])
-                and request.image in other.images
-                and pts.job_rules_allow(request, other, where)
-            ):
-                free[other.index] = free[other.index].minus(task.demand)
-                where[other.zone] = where.get(other.zone, 0) + 1
-                break
-        else:
-            return False
-    return True
-
-
-def _freed_soon(node: pts.MachineSnapshot, now: float, horizon_s: float) -> Resources | None:
-    """A machine's room after the horizon, if some of its tasks should have ended by then."""
-    room = node.free
-    for task in node.running:
-        if now < task.ends_at <= now + horizon_s:
-            room = room.plus(task.demand)
-    return None if room is node.free else room
+        if now < task.ends_at <= now + delay_s:
+            free = free.plus(task.demand)
+    return None if free is node.free else free
 
 
 def _spare_machines(
     snapshots: list[pts.Snapshot], plans: list[pts.Plan], empty: set[int]
 ) -> dict[int, tuple[pts.MachineSnapshot, int]]:
-    """Empty machines that their own share's waiting work does not take, with that share."""
+    """Empty machines that their own shard's waiting work does not use, with that shard."""
     return {
-        before.index: (before, index)
-        for index, plan in enumerate(plans)
-        for before, after in zip(snapshots[index].nodes, plan.nodes, strict=True)
+        before.index: (before, shard)
+        for shard, plan in enumerate(plans)
+        for before, after in zip(snapshots[shard].nodes, plan.nodes, strict=True)
         if before.index in empty and after.free == before.free
     }
 
 
-def _reserve(
-    result: FleetDecisions,
-    plans: list[pts.Plan],
-    free: dict[int, Resources],
-    kept: list[CapacityReserve],
-    choices: list[Option],
-    most: int,
-) -> None:
-    """Set room aside for the reserve, in `free`, and rent what it lacks."""
-    for position, reserve in enumerate(kept):
-        where = range(len(plans)) if reserve.pooled else [reserve.shard]
-        request = pts.Request(
-            -1 - position,
-            0,
-            reserve.demand,
-            -1,
-            False,
-            0,
-            None,
-            None,
-            False,
-            None,
-            reserve.spot,
-            "",
-            {},
-            set(),
-            float(position),
-        )
-        missing = reserve.tasks
-        rooms: list[tuple[float, pts.MachineSnapshot]] = []
-        evictable = 0.0
-        for index, plan in enumerate(plans):
-            for node in plan.nodes:
-                room = free.get(node.index)
-                if room is None or (node.spot and not reserve.spot):
-                    continue
-                if index in where:
-                    evictable += node.low_slots
-                # Empty machines of other shares can be moved when they are needed.
-                if (index in where or room == node.total) and reserve.demand.fits_in(room):
-                    rooms.append((node.idle_slots / (node.slots or 1.0), node))
-        if reserve.rank >= HIGH_RANK:
-            missing -= int(evictable / (pts.slots_of(reserve.demand) or 1.0))
-        # Of the empty ones, those that hold the most images start work the soonest: the others are
-        # returned.
-        rooms.sort(key=lambda item: (item[0], -len(item[1].images)))
-        for _, node in rooms:
-            if missing <= 0:
-                break
-            count = min(missing, reserve.demand.count_in(free[node.index]))
-            free[node.index] = free[node.index].minus(reserve.demand.times(count))
-            missing -= count
-        if missing > 0:
-            # Dear machines are not kept idle for work that may run on cheap ones.
-            offers = [option for option in choices if option.offer.spot == reserve.spot]
-            lacking = UnplacedDemand(
-                [request], {request.job: missing}, {0: pts.TeamUse(NOTHING, UNLIMITED, UNLIMITED)}
-            )
-            result.rents += [(offer, reserve.shard) for offer in lacking.rent(offers, most)]
+def _reserve_request(position: int, reserve: CapacityReserve) -> pts.Request:
+    """A request for a reserve's demand that stands for no job."""
+    return pts.Request(
+        job=-1 - position,
+        count=0,
+        demand=reserve.demand,
+        rank=-1,
+        high=False,
+        team=0,
+        types=None,
+        zone=None,
+        one_zone=False,
+        zone_limit=None,
+        spot=reserve.spot,
+        image="",
+        zone_counts={},
+        avoided_machines=set(),
+        order=float(position),
+    )
