--- a/badgerseam/fleet/evacuation.py
+++ b/badgerseam/fleet/evacuation.py
@@ -1,4 +1,4 @@
-"""Which machines of other shares are vacated for work that finds no room in its own."""
+"""Which machines of other shards are vacated for work that cannot be placed in its own."""
 
 from __future__ import annotations
 
@@ -11,21 +11,25 @@
 from badgerseam.sched.planner import Planner
 
 EVACUATION_INTERVAL_S = 3.0
-"""How long HP work, or a claim to a guarantee, waits before machines of another share are
-vacated."""
+"""How long HP work, or a claim to a guarantee, waits before machines of another shard are vacated,
+and between evacuations for one shard."""
 MAX_EVACUATED = 4
-"""Of these at a time for one share."""
+"""Machines vacated at a time for one shard."""
 
 
 class Evacuation:
-    """The paper's plan evicts within a share. For HP work, and for what a team claims of its
-    guarantee, low-priority work and borrowers of other shares are in the way as well, where they
-    hold all there is of the machines that it needs."""
+    """Selects machines to be vacated for work of other shards.
+
+    The paper's plan evicts within a shard. For HP work, and for what a team claims of its
+    guarantee, low-priority work and borrowers of other shards are in the way as well, where they
+    use all machines that would serve.
+    """
 
     def __init__(self, model: Model, planner: Planner) -> None:
         self._model = model
         self._planner = planner
         self._vacated_at: dict[int, float] = {}
+        """By the shard for which machines were vacated."""
 
     def select(
         self,
@@ -34,38 +38,45 @@
         moving: set[str],
         now: float,
     ) -> dict[int, list[Machine]]:
-        """Machines to be vacated, by the share that is to get them; none where the cloud has any.
+        """Machines to be vacated, by the shard that is to get them.
 
-        `moving`: names of machines that are on their way to a share already.
+        None for a shard for which machines are rented. `moving`: names of machines that are on
+        their way to a shard already.
         """
-        model = self._model
-        found: dict[int, list[Machine]] = {}
+        selected: dict[int, list[Machine]] = {}
         borrowers: set[int] | None = None
-        for index, snapshot in enumerate(snapshots):
-            waiting = decisions.waiting[index]
-            if not waiting or any(shard == index for _, shard in decisions.rents):
+        for shard, snapshot in enumerate(snapshots):
+            waiting = decisions.waiting[shard]
+            if not waiting or any(rented_for == shard for _, rented_for in decisions.rents):
                 continue
-            if now - self._vacated_at.get(index, -1e9) < EVACUATION_INTERVAL_S:
+            if now - self._vacated_at.get(shard, -1e9) < EVACUATION_INTERVAL_S:
                 continue
             for request in in_level_order(snapshot.requests):
-                job = model.jobs[request.job]
-                if request.job not in waiting or job is None or job.is_failing:
-                    continue
-                if now - job.last_seen_at < EVACUATION_INTERVAL_S:
+                if not self._may_evacuate(snapshot, request, waiting, now):
                     continue
-                if not request.high:
-                    team = snapshot.teams[request.team]
-                    if not team.used.plus(request.demand).fits_in(team.guarantee):
-                        continue
-                    if borrowers is None:
-                        borrowers = self._borrowers()
+                if borrowers is None and not request.high:
+                    borrowers = self._borrowers()
                 count = waiting[request.job]
-                chosen = self._cheapest(index, request, count, borrowers or set(), moving, now)
+                chosen = self._cheapest(shard, request, count, borrowers or set(), moving, now)
                 if chosen:
-                    self._vacated_at[index] = now
-                    found[index] = chosen
+                    self._vacated_at[shard] = now
+                    selected[shard] = chosen
                     break
-        return found
+        return selected
+
+    def _may_evacuate(
+        self, snapshot: pts.Snapshot, request: pts.Request, waiting: dict[int, int], now: float
+    ) -> bool:
+        """Whether machines may be vacated for a request: HP work or a claim that has waited."""
+        job = self._model.jobs[request.job]
+        if request.job not in waiting or job is None or job.is_failing:
+            return False
+        if now - job.last_seen_at < EVACUATION_INTERVAL_S:
+            return False
+        if request.high:
+            return True
+        team = snapshot.teams[request.team]
+        return team.used.plus(request.demand).fits_in(team.guarantee)
 
     def _borrowers(self) -> set[int]:
         """Teams that use more than they are guaranteed."""
@@ -85,18 +96,12 @@
         moving: set[str],
         now: float,
     ) -> list[Machine]:
-        """The machines of other shares with the least waste on them that make room for so many
-        tasks. HP work takes those of low-priority work, the rest those of borrowers only."""
-        found: list[tuple[float, int]] = []
+        """The machines of other shards with the least waste that make `count` tasks fit."""
+        candidates: list[tuple[float, int]] = []
         for machine in self._model.machines.values():
-            if machine.shard == shard or machine.name in moving or machine.dropped:
+            if machine.shard == shard or machine.name in moving:
                 continue
-            if machine.draining or machine.lost or not machine.attempts:
-                continue
-            if any(
-                attempt.job.rank >= HIGH_RANK or not (request.high or attempt.job.team in borrowers)
-                for attempt in machine.attempts.values()
-            ):
+            if not self._may_vacate(machine, request, borrowers):
                 continue
             if not pts.job_rules_allow(request, self._planner.node(machine, now)):
                 continue
@@ -104,12 +109,24 @@
                 pts.slots_of(attempt.job.demand) * (now - attempt.planned_at)
                 for attempt in machine.attempts.values()
             )
-            found.append((waste, machine.index))
+            candidates.append((waste, machine.index))
         chosen: list[Machine] = []
-        for _, index in sorted(found)[:MAX_EVACUATED]:
+        for _, index in sorted(candidates)[:MAX_EVACUATED]:
             if count <= 0:
                 break
             machine = self._model.machines[index]
             chosen.append(machine)
             count -= request.demand.count_in(machine.total)
         return chosen
+
+    def _may_vacate(self, machine: Machine, request: pts.Request, borrowers: set[int]) -> bool:
+        """Whether a request may have all work on a machine stopped.
+
+        HP work may that of low priority, any other request that of borrowers only.
+        """
+        if machine.dropped or machine.draining or machine.lost or not machine.attempts:
+            return False
+        return all(
+            attempt.job.rank < HIGH_RANK and (request.high or attempt.job.team in borrowers)
+            for attempt in machine.attempts.values()
+        )
--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -1,4 +1,4 @@
-"""An owner's part: giving up machines of its shares, or passing them on."""
+"""The owner's part of scale in and of moves: giving up machines, or passing them on."""
 
 from __future__ import annotations
 
@@ -19,24 +19,28 @@
 
 log = logging.getLogger("badgerseam.fleet")
 
-EMPTY_S = 3.0
-"""How long a drained and empty machine may wait to be given up, while changes are scarce."""
+EMPTY_PATIENCE_S = 3.0
+"""How long a drained and empty machine may wait to be given up, while writes are scarce."""
 NO_SHARD = -1
-"""Where a machine is moved that is to be released."""
+"""The target of a machine that is to be released."""
 
 
 class MachineTransfer:
-    """An owner's part: giving up machines of its shares, or passing them on."""
+    """Gives up machines of the shards that this controller owns, or passes them on."""
 
-    def __init__(self, model: Model, roster: MachineRecords, planner: Planner) -> None:
+    def __init__(self, model: Model, machine_records: MachineRecords, planner: Planner) -> None:
         self._model = model
-        self._roster = roster
+        self._machine_records = machine_records
         self._planner = planner
 
     async def rewrite(
         self, machines: list[Machine], shard: int, patience_s: float = 0.0
     ) -> set[str]:
-        """Write machines of one share anew, on condition that we still own it; those written."""
+        """Move the records of one shard's machines to a shard, if we still own the former one.
+
+        Returns the names for which that is durable. `patience_s`: how long it may take while writes
+        are scarce.
+        """
         if not machines:
             return set()
         owner = self._model.shards[machines[0].shard]
@@ -47,7 +51,7 @@
         def edit(row: wire.StoredMachine) -> wire.StoredMachine:
             machine = self._model.machine(row.name)
             if machine is None or machine.version != versions[row.name]:
-                # It was moved without an answer, and has come back since, perhaps with work on it.
+                # It was moved by an unanswered write, and has come back since, perhaps with work.
                 return row
             if row.shard != owner.index:
                 return row
@@ -56,7 +60,7 @@
                 return msgspec.structs.replace(row, dropped=True, address=address)
             return msgspec.structs.replace(row, shard=shard, address=address)
 
-        return await self._roster.change(
+        return await self._machine_records.change(
             machines,
             edit,
             (claim_key(owner.index), term),
@@ -65,14 +69,14 @@
         )
 
     async def release_finished(self) -> None:
-        """Have machines released that are lost, or drained and empty."""
-        parts: dict[tuple[int, float], list[Machine]] = {}
+        """Give up machines that are lost, or drained and empty."""
+        batches: dict[tuple[int, float], list[Machine]] = {}
         with self._model.lock:
             for machine in self.releasable():
                 machine.releasing = True
-                # Tasks of one that is lost, or does not answer, wait for it to be gone.
-                patience_s = 0.0 if machine.lost or machine.given_up else EMPTY_S
-                parts.setdefault((machine.shard, patience_s), []).append(machine)
+                # Tasks of a machine that is lost, or does not answer, wait until it is gone.
+                patience_s = 0.0 if machine.lost or machine.given_up else EMPTY_PATIENCE_S
+                batches.setdefault((machine.shard, patience_s), []).append(machine)
 
         async def give_up(machines: list[Machine], patience_s: float) -> None:
             try:
@@ -81,47 +85,54 @@
                 for machine in machines:
                     machine.releasing = False
 
-        await asyncio.gather(*(give_up(part, key[1]) for key, part in parts.items()))
+        await asyncio.gather(*(give_up(batch, key[1]) for key, batch in batches.items()))
 
     async def transfer(self, machines: list[Machine], shard: int, vacate: bool = False) -> set[str]:
-        """Pass empty machines of a share on to another, or, to vacate them, have their work
-        stopped; the names for which that is done."""
+        """Pass empty machines of a shard on to another, or with `vacate` have their work stopped.
+
+        Returns the names for which that is done.
+        """
         done: set[str] = set()
-        giving = []
+        passed_on: list[Machine] = []
         with self._model.lock:
             for machine in machines:
                 if machine.shard == shard:
-                    # Asked once more by a leader that does not see the move yet. Written anew in
-                    # its place it went on draining, and was released.
+                    # Repeated by a leader that has not followed the move yet. Written again in its
+                    # place the machine went on draining, and was released.
                     done.add(machine.name)
                 elif vacate and shard == NO_SHARD:
-                    if not machine.draining and self._movable(machine):
-                        log.info("%s is emptied: others have room", machine.name)
+                    if not machine.draining and self._may_consolidate(machine):
+                        log.info("machine draining machine=%s reason=consolidation", machine.name)
                         machine.draining = True
                         done.add(machine.name)
-                elif vacate and not machine.draining and self._low_only(machine):
-                    log.info("vacating %s for share %d", machine.name, shard)
+                elif vacate and not machine.draining and self._has_only_low_priority(machine):
+                    log.info(
+                        "machine draining machine=%s reason=evacuation shard=%d",
+                        machine.name,
+                        shard,
+                    )
                     machine.draining = True
                     machine.evacuate_to = shard
                     done.add(machine.name)
-                elif self._empty(machine) and not machine.transferring:
+                elif self._may_pass_on(machine) and not machine.transferring:
                     machine.evacuate_to = None
                     machine.draining = machine.transferring = True
-                    giving.append(machine)
-        written = await self.rewrite(giving, shard)
-        for machine in giving:
+                    passed_on.append(machine)
+        written = await self.rewrite(passed_on, shard)
+        for machine in passed_on:
             machine.transferring = False
             if machine.name not in written:
                 machine.draining = False
         return done | written
 
-    def _low_only(self, machine: Machine) -> bool:
+    def _has_only_low_priority(self, machine: Machine) -> bool:
+        """Whether a machine is ours and no high-priority work is on it."""
         return self._model.shards[machine.shard].owned and all(
             attempt.job.rank < HIGH_RANK for attempt in machine.attempts.values()
         )
 
-    def _movable(self, machine: Machine) -> bool:
-        """Whether only replicas are on it, that have run for long enough to be moved."""
+    def _may_consolidate(self, machine: Machine) -> bool:
+        """Whether only services run on a machine, and for long enough to be moved."""
         now = self._model.clock.now()
         return (
             self._model.shards[machine.shard].owned
@@ -137,14 +148,17 @@
         )
 
     def evacuated(self) -> list[tuple[Machine, int]]:
-        """Machines that have become empty for another share."""
+        """Machines that have become empty for another shard, with that shard."""
         return [
             (machine, machine.evacuate_to)
             for machine in self._model.machines.values()
-            if machine.evacuate_to is not None and not machine.transferring and self._empty(machine)
+            if machine.evacuate_to is not None
+            and not machine.transferring
+            and self._may_pass_on(machine)
         ]
 
-    def _empty(self, machine: Machine) -> bool:
+    def _may_pass_on(self, machine: Machine) -> bool:
+        """Whether a machine is ours and empty, and not to be released."""
         return (
             self._model.shards[machine.shard].owned
             and (not machine.draining or machine.evacuate_to is not None)
@@ -154,7 +168,7 @@
         )
 
     def releasable(self) -> list[Machine]:
-        """Machines of owned shares that are to be released: lost, or drained and empty."""
+        """Machines of owned shards that are to be given up: lost, or drained and empty."""
         model = self._model
         return [
             machine
--- a/badgerseam/fleet/scale_in.py
+++ b/badgerseam/fleet/scale_in.py
@@ -1,4 +1,4 @@
-"""Releasing machines: one call for as many as have gathered, and then their records."""
+"""Releases machines to the cloud and deletes their records."""
 
 from __future__ import annotations
 
@@ -15,81 +15,85 @@
 
 log = logging.getLogger("badgerseam.fleet")
 
-EMPTY_S = 10.0
-"""How long the row of an empty machine may outlast it, while changes are scarce."""
+EMPTY_RECORD_PATIENCE_S = 10.0
+"""How long the record of an empty machine may outlast it, while writes are scarce."""
+RETRY_INTERVAL_S = 0.5
+"""After a failed call, before its machines may be released again."""
 MAX_RELEASED = 100
 """The protocol's limit of names in one call."""
 
 
 class ScaleIn:
-    """Gives machines back to the cloud, while this controller leads."""
+    """Releases machines to the cloud, while this controller leads."""
 
     def __init__(
         self,
         model: Model,
         member: Membership,
-        roster: MachineRecords,
+        machine_records: MachineRecords,
         cloud: CloudClient,
         spawn: Callable[[Awaitable[object]], None],
         changed: Callable[[], None],
     ) -> None:
         self._model = model
         self._member = member
-        self._roster = roster
+        self._machine_records = machine_records
         self._cloud = cloud
         self._spawn = spawn
         self._changed = changed
         self.in_progress: set[str] = set()
-        """Machines that are being released."""
-        self._to_release: list[str] = []
-        self._runs = False
+        """Names of machines that are being released."""
+        self._queue: list[str] = []
+        self._is_running = False
 
     def release(self, names: list[str]) -> None:
         """Release machines, as many with one call as have gathered since the last one."""
-        fresh = [name for name in names if name not in self.in_progress]
-        if not fresh:
+        new = [name for name in names if name not in self.in_progress]
+        if not new:
             return
-        self.in_progress.update(fresh)
-        self._to_release += fresh
-        if not self._runs:
-            self._runs = True
-            self._spawn(self._release_gathered())
+        self.in_progress.update(new)
+        self._queue += new
+        if not self._is_running:
+            self._is_running = True
+            self._spawn(self._release_queued())
 
-    async def _release_gathered(self) -> None:
+    async def _release_queued(self) -> None:
         try:
-            while self._to_release:
+            while self._queue:
                 await self._cloud.wait_for_budget()
-                names = self._to_release[:MAX_RELEASED]
-                del self._to_release[:MAX_RELEASED]
-                await self._delete_machines(names)
+                names = self._queue[:MAX_RELEASED]
+                del self._queue[:MAX_RELEASED]
+                await self._release(names)
         finally:
-            self._runs = False
+            self._is_running = False
 
-    async def _delete_machines(self, names: list[str]) -> None:
+    async def _release(self, names: list[str]) -> None:
         try:
             await self._cloud.release(names)
         except CloudError as error:
-            log.debug("release: %s", error)
-            await asyncio.sleep(0.5)
+            log.debug("machines not released error=%s", error)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             self.in_progress.difference_update(names)
             return
-        log.info("released %s", " ".join(names))
+        log.info("machines released machines=%s", ",".join(names))
         with self._model.lock:
             machines = [m for m in map(self._model.machine, names) if m is not None]
-        # Tasks that were on a machine go elsewhere when its row is gone. An empty one's row is only
-        # in the way.
-        self._spawn(self._remove_records([m for m in machines if m.attempts], 0.0))
-        self._spawn(self._remove_records([m for m in machines if not m.attempts], EMPTY_S))
+        # Tasks that were on a machine start elsewhere when its record is gone. An empty one's
+        # record is only in the way.
+        busy = [machine for machine in machines if machine.attempts]
+        empty = [machine for machine in machines if not machine.attempts]
+        self._spawn(self._delete_records(busy, 0.0))
+        self._spawn(self._delete_records(empty, EMPTY_RECORD_PATIENCE_S))
         self.in_progress.difference_update(set(names) - {m.name for m in machines})
 
-    async def _remove_records(self, machines: list[Machine], patience_s: float) -> None:
-        held = self._model.leader_claim
+    async def _delete_records(self, machines: list[Machine], patience_s: float) -> None:
+        claim = self._model.leader_claim
         try:
-            if held is not None and machines:
-                await self._roster.change(
+            if claim is not None and machines:
+                await self._machine_records.change(
                     machines,
-                    lambda row: None,
-                    (LEADER_KEY, held.version),
+                    lambda _: None,
+                    (LEADER_KEY, claim.version),
                     lambda: self._member.is_leader,
                     patience_s,
                 )
--- a/badgerseam/fleet/scale_out.py
+++ b/badgerseam/fleet/scale_out.py
@@ -1,4 +1,4 @@
-"""Renting machines, and writing the first record of those that came, asked for or not."""
+"""Rents machines, and writes the first records of those that came, rented here or not."""
 
 from __future__ import annotations
 
@@ -23,21 +23,27 @@
 
 log = logging.getLogger("badgerseam.fleet")
 
-NO_CAPACITY_S = 10.0
-MAX_NO_CAPACITY_S = 30.0
-SHOWN_S = 0.1
-"""Between looks whether the replica shows a request that is known to be durable."""
+BLOCK_S = 10.0
+"""For how long an offer without capacity is not requested again at first."""
+MAX_BLOCK_S = 30.0
+FOLLOW_INTERVAL_S = 0.1
+"""Between checks whether the replica of the state shows a rental that is known to be durable."""
+MIN_RETRY_INTERVAL_S = 0.5
+MAX_RETRY_INTERVAL_S = 4.0
+RECORD_RETRY_INTERVAL_S = 0.3
+GUARANTEE_WEIGHT = 0.05
+"""How much a team's guarantee counts as work of its shard, against tasks that wait or run."""
 
 
 class ScaleOut:
-    """Requests to the cloud that are persisted under unique names before they are sent."""
+    """Rentals, which are persisted under unique names before the cloud is asked for them."""
 
     def __init__(
         self,
         model: Model,
         member: Membership,
         committer: GroupCommitter,
-        roster: MachineRecords,
+        machine_records: MachineRecords,
         cloud: CloudClient,
         spawn: Callable[[Awaitable[object]], None],
         changed: Callable[[], None],
@@ -45,222 +51,244 @@
         self._model = model
         self._member = member
         self._committer = committer
-        self._roster = roster
+        self._machine_records = machine_records
         self._cloud = cloud
         self._spawn = spawn
         self._changed = changed
         self._clock = model.clock
         self.blocked: dict[Offer, tuple[float, float]] = {}
-        """Offers without capacity: until when they are left alone, and the pause."""
+        """Offers without capacity: until when they are not requested, and for how long that was."""
         self.in_progress: set[str] = set()
-        """Names of the requests that somebody here is seeing to."""
+        """Names of the rentals that this controller is carrying out."""
         self.requesting: dict[str, wire.StoredRental] = {}
-        """Requests that are not durable yet."""
+        """Rentals that are not durable yet."""
         self.recording: set[str] = set()
         """Machines whose first record is being written."""
         self._completed: set[str] = set()
-        """Requests that were seen to under this leadership."""
+        """Rentals that were carried out under this leadership."""
         self._serial = 0
 
     def resume(self) -> None:
-        """See to the requests that are durable and that nobody here is seeing to."""
-        for name, (hire, _) in list(self._model.rentals.items()):
+        """Carry out the durable rentals that are not in progress."""
+        for name, (rental, _) in list(self._model.rentals.items()):
             if name not in self.in_progress:
                 self.in_progress.add(name)
-                self._spawn(self.complete_rental(name, hire))
-
-    def _still_leader(self, version: int) -> bool:
-        """Whether the leadership is ours under the claim that something was composed on."""
-        held = self._model.leader_claim
-        return held is not None and held.version == version and self._member.lease is not None
+                self._spawn(self.complete_rental(name, rental))
 
     def request_rental(self, shards: list[int], offer: Offer) -> None:
-        held = self._model.leader_claim
-        if self._member.lease is None or held is None:
+        """Rent one machine of an offer for each of the shards named."""
+        claim = self._model.leader_claim
+        if self._member.lease is None or claim is None:
             return
-        self._serial += 1
-        name = f"{self._prefix()}-{self._serial}"
-        hire = wire.StoredRental(
+        name = self._next_name()
+        rental = wire.StoredRental(
             shards, offer.type, offer.zone, offer.spot, round(self._clock.wall(), 1)
         )
-        self.requesting[name] = hire
+        self.requesting[name] = rental
         self.in_progress.add(name)
-        self._spawn(self._persist(name, hire, held.version))
+        self._spawn(self._persist(name, rental, claim.version))
+
+    def _next_name(self) -> str:
+        self._serial += 1
+        # The lease makes the names ones that no other process has used.
+        return f"{self._member.node}-{self._member.lease}-{self._serial}"
+
+    def _is_still_leader(self, version: int) -> bool:
+        """Whether this controller leads under the claim of that version."""
+        claim = self._model.leader_claim
+        return claim is not None and claim.version == version and self._member.lease is not None
 
-    async def _persist(self, name: str, hire: wire.StoredRental, version: int) -> None:
+    # ---- rentals ----
+
+    async def _persist(self, name: str, rental: wire.StoredRental, version: int) -> None:
         model = self._model
-        key, value = rental_key(name), wire.raw(hire)
+        key, value = rental_key(name), wire.raw(rental)
         try:
             revision = await self._committer.commit(
                 Urgency.PLACE,
                 {LEADER_KEY: version, key: 0},
                 [wire.Write(put=key, value=value)],
-                # Given up only with the claim, and then it fails: after a spell without the state
-                # service the same need was asked for under a second name, and rented twice.
-                wanted=lambda: self._still_leader(version),
+                # Given up only with the claim, and then it fails: after a time without the state
+                # service the same need was requested under a second name, and rented twice.
+                wanted=lambda: self._is_still_leader(version),
             )
             with model.lock:
                 model.apply(key, value, revision)
         except WRITE_ERRORS as error:
             if isinstance(error, ConditionFailedError) and key in error.failed:
-                # Nobody else uses the name, so that an earlier sending was carried out. Not counted
-                # until the replica shows it, the same need was asked for under a second name.
+                # No other process uses the name, so that an earlier attempt was executed. Not
+                # counted until the replica shows it, the same need was requested under a second
+                # name.
                 await self._wait_until_followed(name, version)
             if name not in model.rentals:
-                log.debug("hire %s not persisted: %r", name, error)
+                log.debug("rental not persisted rental=%s error=%r", name, error)
                 self.in_progress.discard(name)
                 return
         finally:
             self.requesting.pop(name, None)
-        await self.complete_rental(name, hire)
+        await self.complete_rental(name, rental)
 
     async def _wait_until_followed(self, name: str, version: int) -> None:
-        """Return when the replica shows a request that is known to be durable."""
-        while name not in self._model.rentals and self._still_leader(version):
-            await asyncio.sleep(SHOWN_S)
+        """Return when the replica shows a rental that is known to be durable."""
+        while name not in self._model.rentals and self._is_still_leader(version):
+            await asyncio.sleep(FOLLOW_INTERVAL_S)
 
-    async def complete_rental(self, name: str, hire: wire.StoredRental) -> None:
-        """Repeat a persisted request until it is answered."""
-        offer = Offer(hire.type, hire.zone, hire.spot)
-        count = len(hire.shards)
-        request = cloud_wire.RentalRequest(name, hire.type, hire.zone, hire.spot, count)
-        pause = 0.5
+    async def complete_rental(self, name: str, rental: wire.StoredRental) -> None:
+        """Repeat a persisted rental until it is answered, and record its machines."""
         try:
-            while self._member.is_leader:
-                if name in self._completed:
-                    # Its record was carried out once more, behind its end.
-                    names, count = [], 0
-                    break
-                try:
-                    names = await self._cloud.rent(request)
-                    break
-                except NoCapacityError:
-                    names = []
-                    break
-                except CloudError as error:
-                    log.debug("hire %s: %s", name, error)
-                    await asyncio.sleep(pause)
-                    pause = min(pause * 2, 4.0)
-            else:
+            machines = await self._rent(name, rental)
+            if machines is None:
                 return
-            log.info(
-                "hire %s: %d of %d %s in %s%s for shares %s",
-                name,
-                len(names),
-                count,
-                hire.type,
-                hire.zone,
-                " (spot)" if hire.spot else "",
-                " ".join(f"{shard}:{n}" for shard, n in sorted(Counter(hire.shards).items())),
-            )
-            if len(names) < count:
-                self._block(offer, bool(names))
-            # Rented at the latest now. By the time of an order that had waited for its write, new
-            # machines counted as overdue, and others were rented in their place.
-            rented = round(self._clock.wall(), 1)
-            rows = [
-                wire.StoredMachine(machine, shard, hire.type, hire.zone, hire.spot, "", rented)
-                for machine, shard in zip(names, hire.shards, strict=False)
-            ]
-            while self._member.is_leader:
-                # Some may have been adopted already, from a report or the list, or are just being:
-                # they must not be recorded twice.
-                with self._model.lock:
-                    fresh = [r for r in rows if r.name not in self._model.machine_index]
-                    ready = self.recording.isdisjoint(r.name for r in fresh)
-                    if ready:
-                        self.recording.update(r.name for r in fresh)
-                if ready and await self._record(fresh, name, name):
-                    self._completed.add(name)
-                    break
-                await asyncio.sleep(0.3)
+            await self._record_rented(name, rental, machines)
         finally:
             self.in_progress.discard(name)
 
-    def _block(self, offer: Offer, some: bool) -> None:
-        """Leave an offer alone for a while, longer if nothing was to be had again."""
-        _, pause = self.blocked.get(offer, (0.0, 0.0))
-        pause = NO_CAPACITY_S if some or pause == 0 else min(2 * pause, MAX_NO_CAPACITY_S)
-        self.blocked[offer] = (self._clock.now() + pause, pause)
+    async def _rent(self, name: str, rental: wire.StoredRental) -> list[str] | None:
+        """The names of the machines rented; None if this controller does not lead any more."""
+        count = len(rental.shards)
+        request = cloud_wire.RentalRequest(name, rental.type, rental.zone, rental.spot, count)
+        pause_s = MIN_RETRY_INTERVAL_S
+        while self._member.is_leader:
+            if name in self._completed:
+                # Its record was written once more after its end.
+                self._on_rented(name, rental, [], 0)
+                return []
+            try:
+                machines = await self._cloud.rent(request)
+            except NoCapacityError:
+                machines = []
+            except CloudError as error:
+                log.debug("rental not answered rental=%s error=%s", name, error)
+                await asyncio.sleep(pause_s)
+                pause_s = min(pause_s * 2, MAX_RETRY_INTERVAL_S)
+                continue
+            self._on_rented(name, rental, machines, count)
+            return machines
+        return None
+
+    def _on_rented(
+        self, name: str, rental: wire.StoredRental, machines: list[str], count: int
+    ) -> None:
+        """Log an answered rental, and block its offer if the cloud has too few machines."""
+        shards = sorted(Counter(rental.shards).items())
+        log.info(
+            "machines rented rental=%s machines=%d requested=%d type=%s zone=%s spot=%s shards=%s",
+            name,
+            len(machines),
+            count,
+            rental.type,
+            rental.zone,
+            rental.spot,
+            ",".join(f"{shard}:{number}" for shard, number in shards),
+        )
+        if len(machines) < count:
+            offer = Offer(rental.type, rental.zone, rental.spot)
+            self._block(offer, has_some=bool(machines))
+
+    async def _record_rented(
+        self, name: str, rental: wire.StoredRental, machines: list[str]
+    ) -> None:
+        # Rented at the latest now. By the time of a rental that had waited for its write, new
+        # machines counted as overdue, and others were rented in their place.
+        rented_at = round(self._clock.wall(), 1)
+        rows = [
+            wire.StoredMachine(machine, shard, rental.type, rental.zone, rental.spot, "", rented_at)
+            for machine, shard in zip(machines, rental.shards, strict=False)
+        ]
+        while self._member.is_leader:
+            # Some may have been adopted already, from a heartbeat or the list, or are just being:
+            # they must not be recorded twice.
+            with self._model.lock:
+                new = [row for row in rows if row.name not in self._model.machine_index]
+                may_record = self.recording.isdisjoint(row.name for row in new)
+                if may_record:
+                    self.recording.update(row.name for row in new)
+            if may_record and await self._record(new, name, name):
+                self._completed.add(name)
+                return
+            await asyncio.sleep(RECORD_RETRY_INTERVAL_S)
+
+    def _block(self, offer: Offer, has_some: bool) -> None:
+        """Do not request an offer for a while, longer each time that there were no machines."""
+        _, block_s = self.blocked.get(offer, (0.0, 0.0))
+        is_first = has_some or block_s == 0
+        block_s = BLOCK_S if is_first else min(2 * block_s, MAX_BLOCK_S)
+        self.blocked[offer] = (self._clock.now() + block_s, block_s)
 
     # ---- records ----
 
     def adopt_unrecorded(self, rows: list[wire.StoredMachine]) -> None:
-        """Take machines that we have no record of, each into the share with the fewest for its
-        work."""
+        """Record machines that have no record, each in the shard with the fewest for its work."""
         model = self._model
-        fresh = [
+        new = [
             row
             for row in rows
             if row.name not in model.removed_machines
             and row.name not in model.machine_index
             and row.name not in self.recording
         ]
-        if not fresh or not model.types:
+        if not new or not model.types:
             return
-        counts = [
-            sum(machine.total.cpus or 1.0 for machine in fleet.values())
-            for fleet in model.shard_machines
+        cpus = [
+            sum(machine.total.cpus or 1.0 for machine in machines.values())
+            for machines in model.shard_machines
         ]
-        work = [self._work(shard) for shard in range(len(counts))]
+        work = [self._work(shard) for shard in range(len(cpus))]
         adopted = []
-        for row in fresh:
-            shard = max(
-                range(len(counts)), key=lambda index: (work[index] + 1) / (counts[index] + 1)
-            )
-            counts[shard] += model.capacity(row.type).cpus or 1.0
+        for row in new:
+            shard = max(range(len(cpus)), key=lambda index: (work[index] + 1) / (cpus[index] + 1))
+            cpus[shard] += model.capacity(row.type).cpus or 1.0
             adopted.append(msgspec.structs.replace(row, shard=shard))
-            log.info("adopting %s for share %d", row.name, shard)
+            log.info("adopting machine machine=%s shard=%d", row.name, shard)
         self.recording.update(row.name for row in adopted)
-        self._serial += 1
-        self._spawn(self._record(adopted, None, f"{self._prefix()}-{self._serial}"))
-
-    def _prefix(self) -> str:
-        # The lease's number makes the names ones that no other process has used.
-        return f"{self._member.node}-{self._member.lease}"
+        self._spawn(self._record(adopted, None, self._next_name()))
 
     def _work(self, shard: int) -> float:
+        """The slots of a shard's open jobs, and a part of its teams' guarantees."""
         total = 0.0
         for job in self._model.open_jobs[shard].values():
             total += pts.slots_of(job.demand) * (job.waiting() + len(job.attempts))
         for team in self._model.teams:
             if team.shard == shard:
-                total += 0.05 * (team.guarantee.cpus + team.guarantee.gpus)
+                total += GUARANTEE_WEIGHT * (team.guarantee.cpus + team.guarantee.gpus)
         return total
 
-    async def _record(self, rows: list[wire.StoredMachine], hire: str | None, group: str) -> bool:
-        """Write records of machines, and delete the hire that brought them with the last."""
+    async def _record(self, rows: list[wire.StoredMachine], rental: str | None, group: str) -> bool:
+        """Write the records of machines, and with the last one delete their rental.
+
+        Returns False if that is not durable and has to be repeated.
+        """
         model = self._model
-        most = self._roster.max_rows(rows)
+        max_rows = self._machine_records.max_rows(rows)
         try:
-            for first in range(0, max(len(rows), 1), most):
-                part = rows[first : first + most]
-                held = model.leader_claim
-                if held is None:
+            for first in range(0, max(len(rows), 1), max_rows):
+                claim = model.leader_claim
+                if claim is None:
                     return False
-                conditions, also = {LEADER_KEY: held.version}, []
-                if hire is not None:
-                    known = model.rentals.get(hire)
+                conditions = {LEADER_KEY: claim.version}
+                deletions: list[wire.Write] = []
+                if rental is not None:
+                    known = model.rentals.get(rental)
                     if known is None:
-                        # An earlier sending was carried out.
+                        # An earlier attempt was executed.
                         return True
-                    # Carried out late, when the machines are gone again, it brought back the
-                    # records of machines that are not there: a group that is gone looks as one
-                    # that was never written.
-                    conditions[rental_key(hire)] = known[1]
-                    if first + most >= len(rows):
-                        also.append(wire.Write(delete=rental_key(hire)))
-                name = group if first == 0 else f"{group}-{first}"
-                if part or also:
-                    await self._roster.add(
-                        name,
+                    # Executed late, when the machines are gone again, it brought back the records
+                    # of machines that are not there: a group that is gone looks as one that was
+                    # never written.
+                    conditions[rental_key(rental)] = known[1]
+                    if first + max_rows >= len(rows):
+                        deletions.append(wire.Write(delete=rental_key(rental)))
+                part = rows[first : first + max_rows]
+                if part or deletions:
+                    await self._machine_records.add(
+                        group if first == 0 else f"{group}-{first}",
                         part,
                         conditions,
-                        also,
+                        deletions,
                         lambda: self._member.is_leader,
                     )
         except WRITE_ERRORS as error:
-            log.debug("machines not recorded: %r", error)
+            log.debug("machines not recorded rental=%s error=%r", rental, error)
             return False
         finally:
             self.recording.difference_update(row.name for row in rows)
