--- a/badgerseam/fleet/capacity_reserve.py
+++ b/badgerseam/fleet/capacity_reserve.py
@@ -4,15 +4,22 @@
 
 import math
 from collections import deque
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
+from statistics import NormalDist
 from typing import NamedTuple
 
 from badgerseam.model.resources import Resources
 from badgerseam.model.state import Arrival
+from badgerseam.settings import Objective, Tunables
 
 ARRIVAL_WINDOWS = 4
 """Windows after which an arrival does not count any more."""
+TYPICAL_QUANTILE = 0.8
+"""Standard deviations of arrivals that departures make up for (measured: no reserve was needed
+where four fifths are to start in time)."""
+MIN_QUANTILE = 0.5
+MAX_QUANTILE = 0.999
 
 
 @dataclass(slots=True)
@@ -58,7 +65,7 @@
 
 def capacity_reserves(
     arrivals: deque[Arrival],
-    wait_s_by_class: Mapping[str | None, float],
+    waits: Mapping[str | None, float],
     boot_s: float,
     now: float,
     window_s: float,
@@ -67,7 +74,7 @@
 ) -> list[CapacityReserve]:
     """The reserves that recent arrivals call for, by class.
 
-    `wait_s_by_class`: how soon work of a class should start; None stands for any work within its
+    `waits`: how soon, in seconds, work of a class should start; None stands for any work within its
     team's guarantee. `class_of`: the priority class of an arrival, where such are declared.
 
     Departures make up for the mean of the arrivals. What is reserved is some standard deviations of
@@ -75,9 +82,9 @@
     less, so that the reserve ends when no more of a class arrives.
     """
     reserves = []
-    any_wait_s = wait_s_by_class.get(None, math.inf)
+    any_wait_s = waits.get(None, math.inf)
     for job_class, recent in _by_class(arrivals, now, window_s, class_of):
-        class_wait_s = wait_s_by_class.get(job_class, math.inf)
+        class_wait_s = waits.get(job_class, math.inf)
         if min(class_wait_s, any_wait_s) >= boot_s:
             continue
         spread = spreads.objective if class_wait_s < boot_s else spreads.guarantee
@@ -127,3 +134,30 @@
         most = max(by_shard, key=lambda shard: sum(a.tasks for a in by_shard[shard]))
         return [_ClassArrivals(most, True, arrivals)]
     return [_ClassArrivals(shard, False, arrived) for shard, arrived in by_shard.items()]
+
+
+def wait_s_by_class(objectives: Sequence[Objective]) -> dict[str | None, float]:
+    """How soon work of a class should start; None stands for work within a guarantee."""
+    return {
+        objective.job_class: objective.within_s
+        for objective in objectives
+        if objective.within_s is not None
+        and (objective.kind == "guarantee" or (objective.kind == "wait" and objective.job_class))
+    }
+
+
+def reserve_spreads(objectives: Sequence[Objective], tunables: Tunables) -> ReserveSpreads:
+    """How much is reserved for the part of the starts that objectives require to be in time."""
+    required = [
+        objective.required_fraction or 0.0
+        for objective in objectives
+        if objective.kind == "guarantee"
+    ]
+    # Of a normal distribution, so many deviations are needed for the part that is to start in time;
+    # departures make up for what operators accept to be late.
+    fraction = min(max(max(required, default=0.0), MIN_QUANTILE), MAX_QUANTILE)
+    deviations = max(0.0, NormalDist().inv_cdf(fraction) - TYPICAL_QUANTILE)
+    return ReserveSpreads(
+        guarantee=tunables.reserve_guarantee * deviations,
+        objective=tunables.reserve_spread,
+    )
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -4,9 +4,8 @@
 
 import asyncio
 import logging
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Awaitable, Callable
 from random import Random
-from statistics import NormalDist
 
 from badgerseam.background import BackgroundTasks
 from badgerseam.cluster.membership import Membership
@@ -14,9 +13,10 @@
 from badgerseam.fleet.boot_times import SPREAD, BootTimes
 from badgerseam.fleet.capacity_reserve import (
     CapacityReserve,
-    ReserveSpreads,
     capacity_reserves,
     drop_old_arrivals,
+    reserve_spreads,
+    wait_s_by_class,
 )
 from badgerseam.fleet.cloud import CloudClient
 from badgerseam.fleet.demand import Offer, options, virtual_node
@@ -32,7 +32,7 @@
 from badgerseam.model.state import Arrival, Shard
 from badgerseam.sched import pts
 from badgerseam.sched.planner import Planner
-from badgerseam.settings import Objective, Tunables
+from badgerseam.settings import Tunables
 from badgerseam.store.committer import GroupCommitter
 from badgerseam.store.machine_records import MachineRecords
 from badgerseam.wire import state as wire
@@ -47,11 +47,6 @@
 the leader goes on answering its workers."""
 STATUS_INTERVAL_S = 10.0
 """Between log lines on the state of the fleet."""
-TYPICAL_QUANTILE = 0.8
-"""Standard deviations of arrivals that departures make up for (measured: no reserve was needed
-where four fifths are to start in time)."""
-MIN_QUANTILE = 0.5
-MAX_QUANTILE = 0.999
 DEFAULT_BOOT_S = 30.0
 """Stated duration of a boot while no machine types are known."""
 MAX_RENTALS_AT_ONCE = 150
@@ -109,8 +104,8 @@
         self._consolidated_at: dict[int, float] = {}
         """By shard."""
         objectives = model.settings.params.objectives
-        self._wait_s_by_class = _wait_s_by_class(objectives)
-        self._spreads = _reserve_spreads(objectives, tunables)
+        self._wait_s_by_class = wait_s_by_class(objectives)
+        self._spreads = reserve_spreads(objectives, tunables)
 
     def _spawn(self, work: Awaitable[object]) -> None:
         async def guarded() -> None:
@@ -328,52 +323,27 @@
         if now - self._status_logged_at < STATUS_INTERVAL_S:
             return
         self._status_logged_at = now
+        machines = self._model.machines.values()
         waiting = sum(job.waiting() for jobs in self._model.open_jobs for job in jobs.values())
         log.debug(
             "fleet counted %s %s waiting_tasks=%d reserves=%s",
-            self._usage("on_demand", spot=False),
-            self._usage("spot", spot=True),
+            _usage("on_demand", [m for m in machines if not m.spot]),
+            _usage("spot", [m for m in machines if m.spot]),
             waiting,
             ",".join(f"{r.tasks}x{pts.slots_of(r.demand):.1f}" for r in reserves) or "none",
         )
 
-    def _usage(self, prefix: str, spot: bool) -> str:
-        """The machines of one kind, the empty ones, and the slots that are used, as log keys."""
-        machines = [m for m in self._model.machines.values() if m.spot == spot]
-        empty = sum(not machine.attempts for machine in machines)
-        slots = sum(pts.slots_of(machine.total) for machine in machines)
-        used = sum(
-            pts.slots_of(attempt.job.demand)
-            for machine in machines
-            for attempt in machine.attempts.values()
-        )
-        return (
-            f"{prefix}_machines={len(machines)} {prefix}_empty={empty} "
-            f"{prefix}_used_slots={used:.0f} {prefix}_slots={slots:.0f}"
-        )
 
-
-def _wait_s_by_class(objectives: Sequence[Objective]) -> dict[str | None, float]:
-    """How soon work of a class should start; None stands for work within a guarantee."""
-    return {
-        objective.job_class: objective.within_s
-        for objective in objectives
-        if objective.within_s is not None
-        and (objective.kind == "guarantee" or (objective.kind == "wait" and objective.job_class))
-    }
-
-
-def _reserve_spreads(objectives: Sequence[Objective], tunables: Tunables) -> ReserveSpreads:
-    required = [
-        objective.required_fraction or 0.0
-        for objective in objectives
-        if objective.kind == "guarantee"
-    ]
-    # Of a normal distribution, so many deviations are needed for the part that is to start in time;
-    # departures make up for what operators accept to be late.
-    fraction = min(max(max(required, default=0.0), MIN_QUANTILE), MAX_QUANTILE)
-    deviations = max(0.0, NormalDist().inv_cdf(fraction) - TYPICAL_QUANTILE)
-    return ReserveSpreads(
-        guarantee=tunables.reserve_guarantee * deviations,
-        objective=tunables.reserve_spread,
+def _usage(prefix: str, machines: list[Machine]) -> str:
+    """Machines, the empty ones, and the slots that are used, as log keys."""
+    empty = sum(not machine.attempts for machine in machines)
+    slots = sum(pts.slots_of(machine.total) for machine in machines)
+    used = sum(
+        pts.slots_of(attempt.job.demand)
+        for machine in machines
+        for attempt in machine.attempts.values()
+    )
+    return (
+        f"{prefix}_machines={len(machines)} {prefix}_empty={empty} "
+        f"{prefix}_used_slots={used:.0f} {prefix}_slots={slots:.0f}"
     )
