--- a/badgerseam/fleet/capacity_reserve.py
+++ b/badgerseam/fleet/capacity_reserve.py
@@ -118,6 +118,7 @@
             by_class.setdefault(arrival.job_class, []).append(arrival)
 
     def order(item: tuple[str, list[Arrival]]) -> tuple[int, int]:
+        """The order of a class, by its latest arrival."""
         last = item[1][-1]
         return -last.rank, 0 if class_of is None else class_of(last)
 
--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -49,6 +49,7 @@
         versions = {machine.name: machine.version for machine in machines}
 
         def edit(row: wire.StoredMachine) -> wire.StoredMachine:
+            """The record in its new shard, or as it is if it has changed meanwhile."""
             machine = self._model.machine(row.name)
             if machine is None or machine.version != versions[row.name]:
                 # It was moved by an unanswered write, and has come back since, perhaps with work.
@@ -79,6 +80,7 @@
                 batches.setdefault((machine.shard, patience_s), []).append(machine)
 
         async def give_up(machines: list[Machine], patience_s: float) -> None:
+            """Mark the records of machines of one shard to be released."""
             try:
                 await self.rewrite(machines, NO_SHARD, patience_s)
             finally:
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -109,6 +109,7 @@
 
     def _spawn(self, work: Awaitable[object]) -> None:
         async def guarded() -> None:
+            """Log what the work raises, so that the fleet goes on."""
             try:
                 await work
             except Exception:
--- a/badgerseam/fleet/scale_out.py
+++ b/badgerseam/fleet/scale_out.py
@@ -272,9 +272,8 @@
                     if known is None:
                         # An earlier attempt was executed.
                         return True
-                    # Executed late, when the machines are gone again, it brought back the records
-                    # of machines that are not there: a group that is gone looks as one that was
-                    # never written.
+                    # Executed late, it brought back the records of machines that were gone again:
+                    # a group that is gone looks as one that was never written.
                     conditions[rental_key(rental)] = known[1]
                     if first + max_rows >= len(rows):
                         deletions.append(wire.Write(delete=rental_key(rental)))
