--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -130,8 +130,8 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self.state_watcher.run())
             group.create_task(self.membership.keep_lease())
-            group.create_task(self.fleet.keep_types())
-            group.create_task(self.fleet.keep_list())
+            group.create_task(self.fleet.machine_types.keep_published())
+            group.create_task(self.fleet.machine_list.keep_compared())
             group.create_task(self.fleet.keep_fleet())
             group.create_task(self.peers.keep_health())
             if self.standby is not None:
--- a/badgerseam/controller_loops.py
+++ b/badgerseam/controller_loops.py
@@ -204,7 +204,7 @@
     def _review_workers(self) -> None:
         parts = self._parts
         if lacks_addresses(self._model):
-            parts.fleet.learn_addresses()
+            parts.fleet.machine_list.learn_addresses()
         parts.worker_manager.heartbeat_reception.check()
         parts.watch_health.check()
         parts.heartbeat_proxy.review()
