--- a/badgerseam/accounting/__init__.py
+++ b/badgerseam/accounting/__init__.py
@@ -1,1 +1,1 @@
-"""What jobs used, and what became of their attempts: durable with the jobs' own final records."""
+"""Accounting: what jobs used and how their attempts ended, durable with the jobs' final records."""
--- a/badgerseam/accounting/accounts.py
+++ b/badgerseam/accounting/accounts.py
@@ -1,10 +1,10 @@
-"""The accounts of one controller: meters of open jobs, the book of ended ones, and what is still to
-be written.
+"""The accounts of one controller: meters of open jobs, the history of ended jobs, and the cancelled
+jobs whose summary is still to be written.
 
-A job that is done gets its summary in the very transaction that makes it done: it is there once, or
-the job is not done. A cancelled one is final before its tasks are gone, and whoever was asked wrote
-that; the owner of its share adds the summary behind everything urgent. Until then every controller
-knows that it is missing, so that whoever takes the share over writes it.
+A job that is done gets its summary in the transaction that makes it done: the summary exists once,
+or the job is not done. A cancelled job is final before its tasks have left their machines, and any
+controller may have written that; the owner of its shard adds the summary with the least urgency.
+Until then every controller knows that it is missing, so that a new owner writes it.
 """
 
 from __future__ import annotations
@@ -15,39 +15,43 @@
 from badgerseam.accounting.attempts import AttemptLog
 from badgerseam.accounting.job_history import JobHistory
 from badgerseam.model.accounts import UnsummarizedJob
-from badgerseam.model.job import Attempt, Job
+from badgerseam.model.job import FINISHED, PHASE_NAMES, Attempt, Job, Phase
 from badgerseam.model.meter import AttemptMeter
 from badgerseam.model.model import Model
 from badgerseam.sched.snapshot import slots_of
 from badgerseam.wire.accounting import AttemptRecord, Usage, usage_of
 from badgerseam.wire.state import StoredJob, StoredMember
 
-SEEN_INTERVALS = 2.0
-"""Report intervals after which an attempt that was not shown again may have ended unseen."""
+UNOBSERVED_INTERVALS = 2.0
+"""Heartbeat intervals without a heartbeat of an attempt before it may have ended unobserved."""
 MAX_SUMMARIES_AT_ONCE = 10
 """Final records of cancelled jobs in one transaction."""
+SECONDS_DIGITS = 3
+MONEY_DIGITS = 6
+"""Decimal places in records."""
 
 
 class JobAccounts:
-    """Told by the model what happens; callers hold its lock."""
+    """Follows the model (`model.accounts.JobAccounting`). Callers hold its lock."""
 
-    def __init__(self, model: Model, most_jobs: int) -> None:
+    def __init__(self, model: Model, max_jobs: int) -> None:
         self._model = model
-        self.history = JobHistory(most_jobs)
+        self.history = JobHistory(max_jobs)
         self.unsummarized: dict[str, UnsummarizedJob] = {}
+        """Cancelled jobs without a summary, by id."""
         self.log: AttemptLog | None = None
-        """Where attempts are logged one by one."""
+        """The log of attempts, if it is on."""
         self.loading = False
-        """A share is being read: what is placed and taken back then is no news."""
+        """The records of a shard are being read: attempts that end meanwhile do not count."""
 
-    # ---- records ----
+    # ---- final records ----
 
     def on_final_record(self, job_id: str, stored: StoredJob, version: int) -> None:
-        """A job's final record, from the replica or written here."""
+        """A job's final record was observed, or written here."""
         if stored.usage is not None:
             self.unsummarized.pop(job_id, None)
             self.history.add(job_id, stored.state, stored.tasks, stored.usage)
-        elif stored.state == "withdrawn" and stored.spec is not None:
+        elif PHASE_NAMES.get(stored.state) == Phase.CANCELLED and stored.spec is not None:
             team = self._model.team_index.get(stored.spec.team)
             shard = None if team is None else self._model.teams[team].shard
             known = self.unsummarized.get(job_id)
@@ -56,16 +60,16 @@
                 self.unsummarized[job_id] = UnsummarizedJob(stored, version, shard, usage)
 
     def next_unsummarized(self) -> list[tuple[str, UnsummarizedJob]]:
-        """Cancelled jobs of owned shares that have left all machines, a few of them."""
-        found: list[tuple[str, UnsummarizedJob]] = []
+        """Some cancelled jobs of owned shards that have left all machines, with their ids."""
+        ready: list[tuple[str, UnsummarizedJob]] = []
         for job_id, entry in self.unsummarized.items():
             if entry.shard is None or not self._model.shards[entry.shard].owned:
                 continue
             if self._model.job(job_id) is None:
-                found.append((job_id, entry))
-                if len(found) >= MAX_SUMMARIES_AT_ONCE:
+                ready.append((job_id, entry))
+                if len(ready) >= MAX_SUMMARIES_AT_ONCE:
                     break
-        return found
+        return ready
 
     def summarized_record(self, entry: UnsummarizedJob) -> StoredJob:
         """The final record of a cancelled job with its summary, without its description."""
@@ -73,7 +77,7 @@
         spec = entry.stored.spec
         if usage is None:
             assert spec is not None
-            # Its owner ended before it wrote this: what was measured is lost, and said to be.
+            # Its owner ended before it wrote the summary: what it measured is lost.
             usage = usage_of(spec, entry.stored.accepted_at, None, self._model.clock.wall())
             usage = msgspec.structs.replace(usage, complete=False)
         stored = entry.stored
@@ -81,16 +85,16 @@
             return msgspec.structs.replace(stored, spec=None, usage=usage)
         return StoredJob("withdrawn", stored.tasks, stored.accepted_at, None, usage)
 
-    # ---- what happens to jobs ----
+    # ---- jobs and attempts ----
 
     def on_job_opened(self, job: Job) -> None:
-        """A job has become known, or its share is read anew by its new owner."""
+        """A job has become known, or its shard is read anew by its new owner."""
         attempts = sum(job.tries.values())
-        attempts += (
-            sum(task not in job.tries for task in range(job.tasks) if job.status[task] == 2)
-            if job.finished
-            else 0
-        )
+        if job.finished:
+            # A finished task whose row is gone counts as one attempt.
+            attempts += sum(
+                task not in job.tries for task in range(job.tasks) if job.status[task] == FINISHED
+            )
         job.meter = AttemptMeter(unmeasured_before=attempts)
 
     def on_attempt_placed(self, attempt: Attempt) -> None:
@@ -103,47 +107,37 @@
         job, machine = attempt.job, attempt.machine
         if job.meter is None or self.loading or not self._model.shards[job.shard].owned:
             return
-        entry = self._model.types.get(machine.type)
-        price = 0.0
-        if entry is not None and slots_of(machine.total) > 0:
-            hour = entry.spot_price if machine.spot else entry.price
-            price = hour * slots_of(job.demand) / slots_of(machine.total)
+        price = self._price_per_hour(attempt)
         now, wall = self._model.clock.now(), self._model.clock.wall()
         cause = "done" if done else cause_of(attempt)
-        over_at = self._charged_until(attempt, now)
-        seconds = seconds_run(attempt, over_at)
-        money = job.meter.end(cause, seconds, machine.spot, wall - (now - over_at), price)
+        charged_until = self._charged_until(attempt, now)
+        seconds = seconds_run(attempt, charged_until)
+        ended_at = wall - (now - charged_until)
+        money = job.meter.end(cause, seconds, machine.spot, ended_at, price)
         if self.log is not None:
-            evicted = cause == "evicted"
-            record = AttemptRecord(
-                job.id,
-                attempt.task,
-                attempt.number,
-                machine.name,
-                machine.type,
-                machine.zone,
-                machine.spot,
-                round(wall - (now - attempt.planned_at), 3),
-                round(wall, 3),
-                cause,
-                None if seconds is None else round(seconds, 3),
-                round(money, 6),
-                attempt.evicted_for if evicted else None,
-                attempt.cost if evicted else None,
-            )
+            placed_at = wall - (now - attempt.planned_at)
+            record = _attempt_record(attempt, cause, seconds, money, placed_at, wall)
             self.log.add(job.shard, record)
 
+    def _price_per_hour(self, attempt: Attempt) -> float:
+        """The price of the part of its machine that an attempt uses; 0 if it is unknown."""
+        machine = attempt.machine
+        machine_type = self._model.types.get(machine.type)
+        if machine_type is None or slots_of(machine.total) <= 0:
+            return 0.0
+        price = machine_type.spot_price if machine.spot else machine_type.price
+        return price * slots_of(attempt.job.demand) / slots_of(machine.total)
+
     def _charged_until(self, attempt: Attempt, now: float) -> float:
-        """Until when an attempt whose end is known by now is charged.
+        """Until when an attempt is charged whose end is known by now.
 
-        The end of one on a machine that was not heard for a while came at some time meanwhile:
-        only what was seen is charged. Charged up to now, a task that had completed, or was lost
-        with its lease, cost seconds that no machine had spent.
+        An attempt on a machine without heartbeats for a while ended at some time meanwhile: it is
+        charged until it was last observed. Charged up to now, a task that had completed, or was
+        lost with its lease, cost seconds that no machine had spent.
         """
-        report_s = self._model.settings.params.workers.report_s
-        return (
-            now if now - attempt.last_seen_at <= SEEN_INTERVALS * report_s else attempt.last_seen_at
-        )
+        max_gap_s = UNOBSERVED_INTERVALS * self._model.settings.params.workers.report_s
+        is_observed = now - attempt.last_seen_at <= max_gap_s
+        return now if is_observed else attempt.last_seen_at
 
     def usage(self, job: Job) -> Usage | None:
         """The summary of a job that is done."""
@@ -157,3 +151,32 @@
         entry = self.unsummarized.get(job.id)
         if entry is not None and self._model.shards[job.shard].owned:
             entry.usage = self.usage(job)
+
+
+def _attempt_record(
+    attempt: Attempt,
+    cause: str,
+    seconds: float | None,
+    money: float,
+    placed_at: float,
+    ended_at: float,
+) -> AttemptRecord:
+    """The log record of an ended attempt; `placed_at` and `ended_at` are times of day."""
+    machine = attempt.machine
+    is_evicted = cause == "evicted"
+    return AttemptRecord(
+        job=attempt.job.id,
+        task=attempt.task,
+        attempt=attempt.number,
+        machine=machine.name,
+        type=machine.type,
+        zone=machine.zone,
+        spot=machine.spot,
+        placed=round(placed_at, SECONDS_DIGITS),
+        ended=round(ended_at, SECONDS_DIGITS),
+        cause=cause,
+        seconds=None if seconds is None else round(seconds, SECONDS_DIGITS),
+        money=round(money, MONEY_DIGITS),
+        by=attempt.evicted_for if is_evicted else None,
+        cost=attempt.cost if is_evicted else None,
+    )
--- a/badgerseam/accounting/attempt_ends.py
+++ b/badgerseam/accounting/attempt_ends.py
@@ -1,25 +1,25 @@
-"""What the end of an attempt tells: how long it ran, and why it is over."""
+"""The duration of an ended attempt, and the cause of its end."""
 
 from __future__ import annotations
 
-from badgerseam.model.job import Attempt
+from badgerseam.model.job import Attempt, Phase
 
 
 def seconds_run(attempt: Attempt, now: float) -> float | None:
-    """The seconds that an attempt that was durable ran, if that was seen from its start on."""
+    """How long a durable attempt ran; None if that was not observed from its start on."""
     if attempt.started_at <= 0 or attempt.inherited or attempt.unseen:
-        # Never seen to run, or not from its start on; or it may have ended long ago, while the
-        # share had no owner.
+        # Never observed running, or not from its start on; or it may have ended long ago, while
+        # the shard had no owner.
         return None
     return max(0.0, now - attempt.started_at)
 
 
 def cause_of(attempt: Attempt) -> str:
-    """Why an attempt that did not complete is over."""
+    """The cause of the end of an attempt that did not complete, one of `wire.accounting.CAUSES`."""
     machine = attempt.machine
     if attempt.error:
         return "error"
-    if attempt.job.phase != 0:
+    if attempt.job.phase != Phase.OPEN:
         return "cancelled"
     if attempt.cost is not None:
         return "evicted"
--- a/badgerseam/api/batch.py
+++ b/badgerseam/api/batch.py
@@ -78,7 +78,7 @@
             return _bad_request(error)
         if not self._door.take(count):
             return error_reply(429, "too many numbers", max(1, math.ceil(self._door.wait_s(count))))
-        return Reply(200, wire.encode(wire.NumbersResponse(await self._numbers.take(count))))
+        return Reply(200, wire.encode(wire.NumbersResponse(await self._numbers.allocate(count))))
 
     def find_number(self, text: str) -> Reply:
         """The jobs that a number stands for."""
--- a/badgerseam/batch/numbers.py
+++ b/badgerseam/batch/numbers.py
@@ -1,9 +1,9 @@
-"""Job numbers: claimed in blocks, and found again from any id.
+"""Allocates job numbers, and maps numbers to job ids.
 
-People type numbers; the service knows ids of the form job-DIGITS that their users choose. A number
-stands for the id with these digits. Numbers that are handed out come from blocks that one
-controller has claimed by a conditional transaction, so that no two clients ever get the same; a
-block that was claimed without an answer, or whose controller ended, leaves a gap.
+Users of the command line type numbers; job ids have the form job-DIGITS, and clients choose them. A
+number stands for the id with these digits. Numbers are allocated from blocks that one controller
+has claimed by a compare-and-swap, so that no two clients ever get the same; a block whose claim got
+no answer, or whose controller ended, leaves a gap.
 """
 
 from __future__ import annotations
@@ -18,62 +18,68 @@
 from badgerseam.store.committer import GroupCommitter, Urgency
 from badgerseam.wire import state as wire
 
-KEY = f"{PREFIX}b"
-FIRST = 1_000_000
-"""Below it users of the service's own protocol choose their ids as they like."""
-BLOCK = 100
-"""Numbers for one write; changes a second are the scarcest thing there is."""
-MAX_NUMBERS_AT_ONCE = 100
+NUMBERS_KEY = f"{PREFIX}b"
+"""The first number that no controller has claimed."""
+FIRST_NUMBER = 1_000_000
+"""Numbers below it are left to clients that choose their ids themselves."""
+BLOCK_SIZE = 100
+"""Numbers claimed by one write; writes are the scarcest resource of the state service."""
 MAX_DIGITS = 18
+"""Of a number in a job id, with leading zeros."""
 DEADLINE_S = 1.5
+"""Of each request to the state service."""
 
 
 def number_id(number: int) -> str:
-    """The id of a number that was handed out."""
+    """The job id of an allocated number."""
     return f"job-{number}"
 
 
 class JobNumbers:
-    """Hands out numbers on one controller."""
+    """Allocates numbers from the blocks of one controller."""
 
     def __init__(self, model: Model, state: StateClient, committer: GroupCommitter) -> None:
         self._model = model
         self._state = state
         self._committer = committer
         self._next = 0
+        """The next number of the current block, which ends before `_end`."""
         self._end = 0
         self._lock = asyncio.Lock()
 
-    async def take(self, count: int) -> list[int]:
-        """So many numbers that nobody else gets; Unavailable if no block can be claimed now."""
-        taken: list[int] = []
+    async def allocate(self, count: int) -> list[int]:
+        """So many numbers that no other client gets.
+
+        Raises StateUnavailableError if no block can be claimed now.
+        """
+        allocated: list[int] = []
         async with self._lock:
-            while len(taken) < count:
+            while len(allocated) < count:
                 if self._next >= self._end:
-                    await self._claim()
+                    await self._claim_block()
                 number, self._next = self._next, self._next + 1
-                # Its digits may be somebody's own id already.
+                # A client may have chosen an id with these digits already.
                 if not self.ids_of(number):
-                    taken.append(number)
-        return taken
+                    allocated.append(number)
+        return allocated
 
-    async def _claim(self) -> None:
+    async def _claim_block(self) -> None:
         while True:
-            entry = await self._state.get(KEY, DEADLINE_S)
-            first = FIRST
+            entry = await self._state.get(NUMBERS_KEY, DEADLINE_S)
+            first = FIRST_NUMBER
             if entry is not None:
                 first = max(first, msgspec.json.decode(entry.value, type=int))
             try:
                 await self._committer.commit(
                     Urgency.USER,
-                    {KEY: 0 if entry is None else entry.version},
-                    [wire.Write(put=KEY, value=wire.raw(first + BLOCK))],
+                    {NUMBERS_KEY: 0 if entry is None else entry.version},
+                    [wire.Write(put=NUMBERS_KEY, value=wire.raw(first + BLOCK_SIZE))],
                     DEADLINE_S,
                 )
             except ConditionFailedError:
-                # Another has claimed it, or we have and were not told: the next one then.
+                # Another controller has claimed it, or this one has and got no answer: try again.
                 continue
-            self._next, self._end = first, first + BLOCK
+            self._next, self._end = first, first + BLOCK_SIZE
             return
 
     def ids_of(self, number: int) -> list[str]:
@@ -82,5 +88,7 @@
         ids = [f"job-{digits.zfill(width)}" for width in range(len(digits), MAX_DIGITS + 1)]
         with self._model.lock:
             return [
-                name for name in ids if name in self._model.ended or name in self._model.job_index
+                job_id
+                for job_id in ids
+                if job_id in self._model.ended or job_id in self._model.job_index
             ]
--- a/badgerseam/batch/terms.py
+++ b/badgerseam/batch/terms.py
@@ -1,4 +1,4 @@
-"""Whether a job's terms let its tasks start, and whether terms can be taken at all."""
+"""The terms of batch jobs: whether they permit a start now, and whether they are valid."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 from badgerseam.wire.users import Dependency, Submission, Terms
 
 MAX_DEPENDENCIES_WALKED = 1000
-"""Jobs looked at for a cycle."""
+"""Jobs visited in the search for a cycle."""
 
-Known = Callable[[str], Awaitable[bool]]
-"""Whether a job was ever accepted, asked of the state service."""
+WasAccepted = Callable[[str], Awaitable[bool]]
+"""Whether a job was ever accepted, by the state service."""
 
 
 class TermsError(BadgerseamError):
-    """Terms that cannot be taken; the message names the field and what to do. `jobs`: those whose
-    records it rests on, besides the one that the terms are of."""
+    """Invalid terms; the message names the field and what is wrong with it.
+
+    `jobs`: the jobs on whose records the refusal depends, besides the one that the terms are of.
+    """
 
     def __init__(self, message: str, jobs: frozenset[str] = frozenset()) -> None:
         super().__init__(message)
@@ -28,21 +30,21 @@
 
 
 class TermsRules:
-    """Judges by the records that the replica shows; callers hold the model's lock."""
+    """Evaluates terms by the observed records. Callers hold the model's lock, but for `check`."""
 
     def __init__(self, model: Model) -> None:
         self._model = model
 
-    # ---- for the plan ----
+    # ---- for the planner ----
 
     def hold_reason(self, job: Job) -> str | None:
         """Why no more tasks of a job with terms may start now; None if they may."""
-        held = self._held(job)
-        if held in (None, "throttle") and job.eligible_at is None:
+        reason = self._hold_reason(job)
+        if reason in (None, "throttle") and job.eligible_at is None:
             job.eligible_at = self._model.clock.wall()
-        return held
+        return reason
 
-    def _held(self, job: Job) -> str | None:
+    def _hold_reason(self, job: Job) -> str | None:
         terms = job.spec.terms
         if terms is None:
             return None
@@ -51,43 +53,45 @@
         if terms.begin_at is not None and self._model.clock.wall() < terms.begin_at:
             return "begin_time"
         if terms.depends:
-            met = self._dependencies(job, terms)
-            if met is not True:
-                return "dependency" if met is None else "dependency_never"
-        if terms.singleton and self._earlier(job) is not None:
+            are_met = self._are_dependencies_met(job, terms)
+            if are_met is not True:
+                return "dependency" if are_met is None else "dependency_never"
+        if terms.singleton and self._earlier_namesake(job) is not None:
             return "singleton"
         if terms.throttle is not None and job.live >= terms.throttle:
             return "throttle"
         return None
 
     def max_starts(self, job: Job) -> int | None:
-        """How many more tasks may start, if a throttle says so."""
+        """How many more tasks a throttle lets start; None without a throttle."""
         terms = job.spec.terms
         if terms is None or terms.throttle is None:
             return None
         return max(0, terms.throttle - job.live)
 
     def unmet(self, job: Job) -> list[Dependency]:
-        """The dependencies that are not met, or never will be."""
+        """The dependencies that are not met, including those that never will be."""
         terms = job.spec.terms
         if terms is None:
             return []
         return [entry for entry in terms.depends if self._is_met(entry) is not True]
 
-    def _dependencies(self, job: Job, terms: Terms) -> bool | None:
-        """Whether they are met; False if they never will be, None if that is open."""
+    def _are_dependencies_met(self, job: Job, terms: Terms) -> bool | None:
+        """Whether the dependencies are met; False if they never will be, None if they may be."""
         if job.dependencies_met:
             return True
-        found = [self._is_met(entry) for entry in terms.depends]
-        if terms.any:
-            met = True if True in found else None if None in found else False
+        states = [self._is_met(entry) for entry in terms.depends]
+        decisive = terms.any
+        if decisive in states:
+            are_met: bool | None = decisive
         else:
-            met = False if False in found else None if None in found else True
-        # What has ended stays so: what is met once is not looked at again.
-        job.dependencies_met = met is True
-        return met
+            are_met = None if None in states else not decisive
+        # Jobs that have ended stay so: dependencies that are met once stay met.
+        job.dependencies_met = are_met is True
+        return are_met
 
     def _is_met(self, entry: Dependency) -> bool | None:
+        """Whether a dependency is met; False if it never will be, None if it may be."""
         ended = self._model.ended.get(entry.job)
         if ended is None:
             other = self._model.job(entry.job)
@@ -96,23 +100,23 @@
             return True
         return (ended[0] == Phase.DONE) == (entry.kind == "afterok")
 
-    def _earlier(self, job: Job) -> Job | None:
-        """The first open job of the same team, user and name that came before."""
+    def _earlier_namesake(self, job: Job) -> Job | None:
+        """The first open job of the same team, user and name that was submitted before."""
         key = name_key(job)
         own = (job.submitted, job.id)
-        found = [
+        earlier = [
             other
             for index in (self._model.jobs_by_name.get(key, ()) if key is not None else ())
             if (other := self._model.jobs[index]) is not None
             and other.phase == Phase.OPEN
             and (other.submitted, other.id) < own
         ]
-        return min(found, key=lambda other: (other.submitted, other.id), default=None)
+        return min(earlier, key=lambda other: (other.submitted, other.id), default=None)
 
-    # ---- for those who submit or change ----
+    # ---- for submissions and changes ----
 
-    async def check(self, spec: Submission, known: Known) -> None:
-        """TermsError if a new job's terms cannot be taken."""
+    async def check(self, spec: Submission, was_accepted: WasAccepted) -> None:
+        """Raise TermsError if the terms of a job to be accepted are invalid."""
         terms = spec.terms
         if terms is None:
             return
@@ -122,39 +126,40 @@
             raise TermsError("terms.throttle: a gang's tasks run together or not at all")
         if terms.any and not terms.depends:
             raise TermsError("terms.any: there are no dependencies")
-        for place, entry in enumerate(terms.depends):
-            where = f"terms.depends[{place}].job"
+        for position, entry in enumerate(terms.depends):
+            where = f"terms.depends[{position}].job"
             if entry.job == spec.id:
                 raise TermsError(f"{where}: a job cannot wait for itself")
             with self._model.lock:
-                seen = entry.job in self._model.ended or entry.job in self._model.job_index
-            if not seen and not await known(entry.job):
+                is_known = entry.job in self._model.ended or entry.job in self._model.job_index
+            if not is_known and not await was_accepted(entry.job):
                 raise TermsError(f"{where}: {entry.job} was never submitted")
 
     def cycle_free(self, job_id: str, depends: list[Dependency]) -> dict[str, int]:
-        """Conditions (key and version) under which new dependencies of an open job make no cycle;
-        TermsError if they make one.
+        """The versions, by key, on which new dependencies of an open job are free of cycles.
 
-        Two changes at two controllers could close a cycle that neither sees: each is conditional
-        on the open jobs that its walk came through, so that the second is refused.
+        Raises TermsError if they close a cycle. Two changes at two controllers could close one that
+        neither observes: each is conditional on the open jobs that its walk visited, so that the
+        second is refused.
         """
         conditions: dict[str, int] = {}
-        todo = [entry.job for entry in depends]
-        seen: set[str] = set()
-        while todo:
-            name = todo.pop()
+        max_visited = min(
+            MAX_DEPENDENCIES_WALKED, 4 * self._model.settings.params.state.txn_ops - 4
+        )
+        pending = [entry.job for entry in depends]
+        visited: set[str] = set()
+        while pending:
+            name = pending.pop()
             if name == job_id:
                 text = f"terms.depends: {job_id} would wait for itself"
-                raise TermsError(text, frozenset(seen))
+                raise TermsError(text, frozenset(visited))
             job = self._model.job(name)
-            if name in seen or job is None or job.phase != Phase.OPEN:
+            if name in visited or job is None or job.phase != Phase.OPEN:
                 continue
-            seen.add(name)
-            if len(seen) > min(
-                MAX_DEPENDENCIES_WALKED, 4 * self._model.settings.params.state.txn_ops - 4
-            ):
+            visited.add(name)
+            if len(visited) > max_visited:
                 raise TermsError("terms.depends: too many jobs wait for one another")
             conditions[job_key(name)] = job.version
             if job.spec.terms is not None:
-                todo += [entry.job for entry in job.spec.terms.depends]
+                pending += [entry.job for entry in job.spec.terms.depends]
         return conditions
--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -449,5 +449,5 @@
             if self.runs is not None:
                 group.create_task(self.runs.run_forever())
             if self.attempt_log is not None:
-                group.create_task(self.attempt_log.keep())
+                group.create_task(self.attempt_log.run_forever())
             group.create_task(self._tick())
