--- a/badgerseam/api/rollout.py
+++ b/badgerseam/api/rollout.py
@@ -67,7 +67,7 @@
             return error_reply(503, "starting", RETRY_S)
         if level is not None:
             if not model.program.supports(level):
-                least, most = model.program.least, model.program.most
+                least, most = model.program.min_level, model.program.max_level
                 return error_reply(409, f"level: this program reads {least} to {most}")
             for step in range(model.level.level, level, -1):
                 if not model.program.can_lower_from(step):
--- a/badgerseam/cluster/membership.py
+++ b/badgerseam/cluster/membership.py
@@ -205,7 +205,7 @@
         if self.lease is None:
             return None
         program, away = self._model.program, bool(self._away)
-        known = program.least, program.most, __version__, self.classes_digest
+        known = program.min_level, program.max_level, __version__, self.classes_digest
         return wire.ControllerRecord(self.node, self.lease, away, *known, sorted(self.suspected))
 
     def announce_again(self) -> None:
--- a/badgerseam/model/records.py
+++ b/badgerseam/model/records.py
@@ -174,19 +174,20 @@
         """Whether a behaviour is switched on: by the followed level alone, and so at the same
         revision on every controller. What is written because of it has to be conditional on
         `site.version`."""
-        return self.program.active(behaviour, self.level.level)
+        return self.program.is_active(behaviour, self.level.level)
 
     @property
     def is_supported(self) -> bool:
         """Whether this program may act at the site's level."""
-        return self.program.supports(self.level.level) and self.program.least <= self.level.migrated
+        program, level = self.program, self.level
+        return program.supports(level.level) and program.min_level <= level.migrated
 
     @property
     def unsupported_reason(self) -> str | None:
         """Why this program may not act at the site's level, for people; None if it may."""
         if self.is_supported:
             return None
-        least, most = self.program.least, self.program.most
+        least, most = self.program.min_level, self.program.max_level
         if self.program.supports(self.level.level):
             return (
                 f"the stored state is carried over to level {self.level.migrated} only, and this "
--- a/badgerseam/rollout/level_upgrade.py
+++ b/badgerseam/rollout/level_upgrade.py
@@ -51,7 +51,7 @@
         """The level that the site is to go to now; None if it is where it should be."""
         model = self._model
         level = model.level.level
-        wanted = model.program.most if model.target is None else model.target[0].level
+        wanted = model.program.max_level if model.target is None else model.target[0].level
         if wanted > level:
             return level + 1
         if wanted < level and model.target is not None:
--- a/badgerseam/store/machine_records.py
+++ b/badgerseam/store/machine_records.py
@@ -1,4 +1,4 @@
-"""The roster: the records of machines, many to a key, and their only writer."""
+"""The records of machines, a machine group to a key, and their only writer."""
 
 from __future__ import annotations
 
@@ -20,29 +20,37 @@
 from badgerseam.wire import state as wire
 
 GATHER_S = 0.02
-READ_RETRY_S = 0.3
+"""Pause before a write, so that it takes the changes of the same moment along."""
+POLL_S = 0.3
+"""How often it is looked whether deferred changes may be written."""
+READ_RETRY_S = 0.2
+"""Pause after a group could not be read; the state watcher may bring it meanwhile."""
 ROW_BYTES = 128
 """What a machine's row takes at most, as long as its names are short."""
 ADDRESS_BYTES = 32
 """What a row grows by when its machine's address becomes known."""
+FILL_FRACTION = 0.9
+"""Part of a value's maximum size that a group uses."""
 WRITE_ERRORS = (
     ConditionFailedError,
     StateUnavailableError,
     ProposalDroppedError,
     LeaseExpiredError,
 )
+"""What a write fails with that was not carried out, or whose outcome is not known."""
 
 Edit = Callable[[wire.StoredMachine], wire.StoredMachine | None]
+"""The new row of a machine for its present one; None removes it."""
 
 
 @dataclass(slots=True, eq=False)
 class _Change:
-    """What is to become of some machines of a group, and on which claim that stands."""
+    """An edit of some machines of a group, and the claim under which it may be made."""
 
     names: frozenset[str]
     edit: Edit
-    claim: str
-    version: int
+    claim_key: str
+    claim_version: int
     wanted: Callable[[], bool]
     future: asyncio.Future[None] = field(default_factory=asyncio.Future)
 
@@ -50,8 +58,8 @@
 class MachineRecords:
     """Gathers the changes of a group into one write.
 
-    Owners pass machines on and give them up, the leader adds and removes them; writes of others
-    in between are met by reading the group again.
+    Owners transfer machines and give them up, the leader adds and removes them. A group that
+    another controller has written in between is read again before the next attempt.
     """
 
     def __init__(self, model: Model, state: StateClient, committer: GroupCommitter) -> None:
@@ -59,28 +67,32 @@
         self._state = state
         self._committer = committer
         self._pending: dict[str, list[_Change]] = {}
-        self._patient: dict[str, list[_Change]] = {}
-        """What can wait, by group."""
+        """Changes by group; a group is present as long as a task writes it."""
+        self._deferred: dict[str, list[_Change]] = {}
+        """Changes by group that wait for another write of it, or for budget."""
         self._tasks = BackgroundTasks()
 
     def max_rows(self, rows: list[wire.StoredMachine]) -> int:
-        """How many machines like these a value holds."""
+        """How many machines like these fit into one group."""
         longest = max((len(wire.encode(row)) + ADDRESS_BYTES for row in rows), default=0)
-        value = int(self._model.settings.params.state.value_kb * 1024 * 0.9)
-        return max(1, value // max(ROW_BYTES, longest))
+        capacity = int(self._model.settings.params.state.value_kb * 1024 * FILL_FRACTION)
+        return max(1, capacity // max(ROW_BYTES, longest))
 
     async def add(
         self,
         group: str,
         rows: list[wire.StoredMachine],
         conditions: dict[str, int],
-        also: list[wire.Write],
+        more_writes: list[wire.Write],
         wanted: Callable[[], bool],
     ) -> None:
-        """Write a new group, at most `most_rows`; one of NOT_WRITTEN if that did not succeed."""
+        """Write a new group of at most `max_rows` machines, with other writes in one transaction.
+
+        Raises one of `WRITE_ERRORS` if that did not succeed.
+        """
         key = group_key(group)
         conditions = dict(conditions)
-        writes = list(also)
+        writes = list(more_writes)
         if rows:
             conditions[key] = 0
             writes.insert(0, wire.Write(put=key, value=wire.raw(rows)))
@@ -88,12 +100,12 @@
             revision = await self._committer.commit(
                 Urgency.PLACE, conditions, writes, wanted=wanted
             )
-        except ConditionFailedError as refusal:
-            if key in refusal.failed:
-                # An earlier sending was carried out, and only its answer was lost. Machines that
-                # were not known before the replica showed them were recorded in a second group,
-                # and which of the two counts differed between controllers.
-                await self._read_when_possible(key, wanted)
+        except ConditionFailedError as error:
+            if key in error.failed:
+                # An earlier sending was carried out, and only its response was lost. Machines that
+                # were not known before the state watcher showed them were recorded in a second
+                # group, and which of the two counts differed between controllers.
+                await self._read_until_answered(key, wanted)
             raise
         with self._model.lock:
             for write in writes:
@@ -107,53 +119,61 @@
         wanted: Callable[[], bool],
         patience_s: float = 0.0,
     ) -> set[str]:
-        """Edit the rows of machines (None removes one); the names for which that is durable.
+        """Edit the rows of machines; the names of those for which that is durable.
 
-        `patience_s`: for how long it may wait for another write of their group, or for changes to
+        `claim`: the key and version of the claim under which the edit may be made.
+        `wanted`: asked before each sending whether the edit is still to be made.
+        `patience_s`: for how long it may wait for another write of their group, or for writes to
         spare, whichever comes first.
         """
-        groups: dict[str, set[str]] = {}
+        names_by_group: dict[str, set[str]] = {}
         for machine in machines:
-            groups.setdefault(machine.group, set()).add(machine.name)
-        changes = []
-        for group, names in groups.items():
+            names_by_group.setdefault(machine.group, set()).add(machine.name)
+        changes: list[_Change] = []
+        for group, names in names_by_group.items():
             change = _Change(frozenset(names), edit, *claim, wanted)
             changes.append(change)
             if patience_s > 0 and group not in self._pending:
-                self._patient.setdefault(group, []).append(change)
-                self._tasks.spawn(self._later(group, patience_s))
+                self._defer(group, change, patience_s)
             else:
-                self._begin(group, [change])
-        outcomes = await asyncio.gather(*(c.future for c in changes), return_exceptions=True)
-        done: set[str] = set()
+                self._enqueue(group, [change])
+        outcomes = await asyncio.gather(
+            *(change.future for change in changes), return_exceptions=True
+        )
+        durable: set[str] = set()
         for change, outcome in zip(changes, outcomes, strict=True):
             if outcome is None:
-                done |= change.names
+                durable |= change.names
             elif not isinstance(outcome, WRITE_ERRORS):
                 raise outcome
-        return done
+        return durable
 
-    def _begin(self, group: str, changes: list[_Change]) -> None:
+    def _enqueue(self, group: str, changes: list[_Change]) -> None:
         if group in self._pending:
             self._pending[group] += changes
         else:
             self._pending[group] = changes
-            self._tasks.spawn(self._run(group))
+            self._tasks.spawn(self._write_pending(group))
+
+    def _defer(self, group: str, change: _Change, patience_s: float) -> None:
+        self._deferred.setdefault(group, []).append(change)
+        self._tasks.spawn(self._enqueue_deferred(group, patience_s))
 
-    async def _later(self, group: str, patience_s: float) -> None:
-        """Write what waits for a group, unless another write of it does so before."""
+    async def _enqueue_deferred(self, group: str, patience_s: float) -> None:
+        """Enqueue a group's deferred changes in time, unless another write takes them along."""
         until = self._model.clock.now() + patience_s
-        while group in self._patient:
+        while group in self._deferred:
             if self._model.clock.now() >= until or self._committer.wait_s(Urgency.UPKEEP) <= 0:
-                self._begin(group, self._patient.pop(group))
+                self._enqueue(group, self._deferred.pop(group))
                 return
-            await asyncio.sleep(min(READ_RETRY_S, patience_s))
+            await asyncio.sleep(min(POLL_S, patience_s))
 
-    async def _run(self, group: str) -> None:
+    async def _write_pending(self, group: str) -> None:
+        """Write a group until no changes of it are pending."""
         try:
             while self._pending[group]:
                 await asyncio.sleep(GATHER_S)
-                changes = self._pending[group] + self._patient.pop(group, [])
+                changes = self._pending[group] + self._deferred.pop(group, [])
                 self._pending[group] = []
                 while changes:
                     changes = await self._write(group, changes)
@@ -162,43 +182,19 @@
 
     async def _write(self, group: str, changes: list[_Change]) -> list[_Change]:
         """Try once; the changes that are to be tried again."""
-        model, key = self._model, group_key(group)
-        with model.lock:
-            version, rows = model.groups.get(group, (0, {}))
-            rows = dict(rows)
+        key = group_key(group)
+        with self._model.lock:
+            version, stored = self._model.groups.get(group, (0, {}))
+            rows = dict(stored)
         conditions = {key: version}
         for change in changes:
-            conditions[change.claim] = change.version
-            for name in change.names & rows.keys():
-                row = change.edit(rows[name])
-                if row is None:
-                    del rows[name]
-                else:
-                    rows[name] = row
-        value = wire.raw(list(rows.values())) if rows else None
-        write = wire.Write(put=key, value=value) if rows else wire.Write(delete=key)
+            conditions[change.claim_key] = change.claim_version
+            _edit_rows(rows, change)
         try:
             if version:
-                revision = await self._committer.commit(
-                    Urgency.PLACE,
-                    conditions,
-                    [write],
-                    wanted=lambda: any(change.wanted() for change in changes),
-                )
-                with model.lock:
-                    model.apply(key, value, revision)
-        except ConditionFailedError as refusal:
-            again = []
-            for change in changes:
-                if change.claim in refusal.failed:
-                    change.future.set_exception(refusal)
-                elif not change.wanted():
-                    change.future.set_exception(ProposalDroppedError([key]))
-                else:
-                    again.append(change)
-            if key in refusal.failed:
-                await self._read(key)
-            return again
+                await self._commit(key, rows, conditions, changes)
+        except ConditionFailedError as error:
+            return await self._on_condition_failed(key, changes, error)
         except WRITE_ERRORS as error:
             for change in changes:
                 change.future.set_exception(error)
@@ -207,8 +203,43 @@
             change.future.set_result(None)
         return []
 
-    async def _read_when_possible(self, key: str, wanted: Callable[[], bool]) -> None:
-        """Take over a group that is there, as soon as it can be read."""
+    async def _commit(
+        self,
+        key: str,
+        rows: dict[str, wire.StoredMachine],
+        conditions: dict[str, int],
+        changes: list[_Change],
+    ) -> None:
+        """Write a group's rows, or delete the group if there are none."""
+        value = wire.raw(list(rows.values())) if rows else None
+        write = wire.Write(put=key, value=value) if rows else wire.Write(delete=key)
+        revision = await self._committer.commit(
+            Urgency.PLACE,
+            conditions,
+            [write],
+            wanted=lambda: any(change.wanted() for change in changes),
+        )
+        with self._model.lock:
+            self._model.apply(key, value, revision)
+
+    async def _on_condition_failed(
+        self, key: str, changes: list[_Change], error: ConditionFailedError
+    ) -> list[_Change]:
+        """Fail the changes that may not be made any more; the others, to be tried again."""
+        remaining: list[_Change] = []
+        for change in changes:
+            if change.claim_key in error.failed:
+                change.future.set_exception(error)
+            elif not change.wanted():
+                change.future.set_exception(ProposalDroppedError([key]))
+            else:
+                remaining.append(change)
+        if key in error.failed:
+            await self._read(key)
+        return remaining
+
+    async def _read_until_answered(self, key: str, wanted: Callable[[], bool]) -> None:
+        """Apply a group that exists to the model, as soon as it can be read."""
         failures = 0
         while wanted():
             try:
@@ -223,14 +254,25 @@
             return
 
     async def _read(self, key: str) -> None:
-        """Somebody else has written the group; or our own write, which seemed lost, was applied."""
+        """Read a group again that another controller has written, or a write of this one whose
+        response was lost."""
         try:
             entry = await self._state.get(key)
         except StateUnavailableError:
             entry = None
         if entry is None:
-            # Gone, or not to be had now: the replica will tell.
-            await asyncio.sleep(0.2)
+            # Deleted, or not available now: the state watcher will bring it.
+            await asyncio.sleep(READ_RETRY_S)
             return
         with self._model.lock:
             self._model.apply(entry.key, entry.value, entry.version)
+
+
+def _edit_rows(rows: dict[str, wire.StoredMachine], change: _Change) -> None:
+    """Apply a change to the rows of its group, as far as its machines are still there."""
+    for name in change.names & rows.keys():
+        row = change.edit(rows[name])
+        if row is None:
+            del rows[name]
+        else:
+            rows[name] = row
--- a/badgerseam/store/page_rewriter.py
+++ b/badgerseam/store/page_rewriter.py
@@ -1,4 +1,4 @@
-"""Writing pages anew that nothing else is written for, behind everything urgent."""
+"""Rewriting of pages into which nothing else is written, behind everything urgent."""
 
 from __future__ import annotations
 
@@ -12,39 +12,42 @@
 
 
 class PageRewriter:
-    """Pages of the shares that this controller owns, looked at in turn."""
+    """Goes round the pages of owned shards and writes those again for which it is worthwhile."""
 
     def __init__(
         self,
         model: Model,
         ledger: Ledger,
         committer: GroupCommitter,
-        worth: Callable[[Page], bool],
-        at_once: int = 1,
+        is_due: Callable[[Page], bool],
+        max_scanned: int = 1,
     ) -> None:
-        """`worth`: whether a page is to be written anew; `at_once`: pages of a share that are
-        looked at each time, until one is."""
+        """`is_due`: whether a page is to be written again; `max_scanned`: pages of a shard that are
+        examined each time, until one is due."""
         self._model = model
         self._ledger = ledger
         self._committer = committer
-        self._worth = worth
-        self._at_once = at_once
-        self._turn: dict[int, int] = {}
+        self._is_due = is_due
+        self._max_scanned = max_scanned
+        self._last_scanned: dict[int, int] = {}
+        """The number of the page that was examined last, by shard."""
         self.written = 0
+        """Pages whose writing was started."""
 
     def review(self) -> None:
-        """Write at most one page of each share anew; called about once a second, with the lock
+        """Write at most one page of each shard again; called about once a second, with the lock
         held."""
         for shard in self._model.shards:
-            free = shard.owned and not shard.committing and not shard.planned
-            if free and self._committer.wait_s(Urgency.UPKEEP) <= 0:
+            is_idle = shard.owned and not shard.committing and not shard.planned
+            if is_idle and self._committer.wait_s(Urgency.UPKEEP) <= 0:
                 self._review_shard(shard)
 
     def _review_shard(self, shard: Shard) -> None:
         pages = self._model.pages[shard.index]
-        turn = self._turn.get(shard.index, -1)
-        for number in heapq.nsmallest(self._at_once, pages, key=lambda n: (n <= turn, n)):
-            self._turn[shard.index] = number
-            if self._worth(pages[number]) and self._ledger.refresh(shard, number):
+        last = self._last_scanned.get(shard.index, -1)
+        numbers = heapq.nsmallest(self._max_scanned, pages, key=lambda n: (n <= last, n))
+        for number in numbers:
+            self._last_scanned[shard.index] = number
+            if self._is_due(pages[number]) and self._ledger.refresh(shard, number):
                 self.written += 1
                 return
--- a/badgerseam/store/stale_pages.py
+++ b/badgerseam/store/stale_pages.py
@@ -1,9 +1,9 @@
-"""Telling the others what has ended and is not placed anew.
+"""Rewriting of pages whose rows show attempts that have ended and were not placed again.
 
-A row is written when a task is placed, and again with whatever its page is written for. Of an
-attempt that ended without being done, a controller that does not own the share would know only
-then. On a quiet site that was never: the leader rented nothing for tasks that had been evicted or
-had failed, and kept machines that it took for occupied by cancelled ones.
+A row is written when a task is placed, and again whenever its page is written. Only then does a
+controller that does not own the shard learn of an attempt that ended without being done. On a quiet
+site that was never: the leader rented nothing for tasks that had been evicted or had failed, and
+did not delete machines that cancelled tasks seemed to occupy.
 """
 
 from __future__ import annotations
@@ -15,13 +15,15 @@
 from badgerseam.store.ledger import Ledger
 from badgerseam.store.page_rewriter import PageRewriter
 
-PAGES_SCANNED = 8
-"""Pages of a share at a time."""
+MAX_PAGES_SCANNED = 8
+"""Pages of a shard that are examined at a time."""
 
 
 def stale_page_rewriter(model: Model, ledger: Ledger, committer: GroupCommitter) -> PageRewriter:
-    """What writes such pages anew."""
-    return PageRewriter(model, ledger, committer, lambda page: is_stale(model, page), PAGES_SCANNED)
+    """A rewriter of the pages that are stale."""
+    return PageRewriter(
+        model, ledger, committer, lambda page: is_stale(model, page), MAX_PAGES_SCANNED
+    )
 
 
 def is_stale(model: Model, page: Page) -> bool:
@@ -30,16 +32,16 @@
     for entry in page.jobs.values():
         job = model.job(entry.job)
         if job is None:
-            # Ended, with nothing left. Where it is done, its bits tell that of every row.
+            # Ended, with nothing left. If it is done, so is the task of every row.
             ended = model.ended.get(entry.job)
             if ended is not None and ended[0] == Phase.CANCELLED and entry.rows:
                 return True
             continue
-        # What its owner does not start is nothing to rent for.
+        # No machine is to be rented for what its owner does not start now.
         if job.phase == Phase.OPEN and (job.is_failing or now < job.retry_at or not job.waiting()):
             continue
         for row in entry.rows:
-            placed = row.machine is not None and job.status[row.task] != FINISHED
-            if placed and row.task not in job.attempts:
+            is_placed = row.machine is not None and job.status[row.task] != FINISHED
+            if is_placed and row.task not in job.attempts:
                 return True
     return False
--- a/badgerseam/store/write_rate.py
+++ b/badgerseam/store/write_rate.py
@@ -1,82 +1,98 @@
-"""Changes a second, shared by need: who has little to write leaves its part to who has much.
-
-The state service's limit is one for all controllers. Parted evenly, a burst waits at one of them
-for seconds while the others leave most of theirs unused. Each tells its siblings once a second,
-with its health, what it needs; a part that is not needed is divided among those that need more. As
-long as everybody's knowledge is fresh the rates add up to the limit at most, and what each may have
-saved up stays its even part, so that the bursts do as well. Where it is not, for a second, the
-state service may answer 429, which is waited for like a missing allowance.
+"""Allocation of the write rate: controllers with little to write leave their part to the others.
+
+The state service has one limit for all controllers. With even parts, a burst waits at one of them
+for seconds while the others leave most of theirs unused. So each controller reports its demand to
+its peers once a second, with its health, and a part that is not needed is divided among those that
+need more. As long as all demands are fresh, the rates add up to the limit at most; the burst of
+each stays that of its even part, so that the bursts do as well. While one is not, for a second, the
+state service may answer 429, after which the budget waits as for a missing allowance.
 """
 
 from __future__ import annotations
 
 import math
+from typing import NamedTuple
 
 from badgerseam.http.budget import RateBudget
 from badgerseam.model.model import Model
 
 MIN_FRACTION = 0.3
-"""The part of an even part that is never left to others: a change or two can be made at once."""
+"""Of an even part, never left to others: a write or two can be made at once."""
 ABSENT_FRACTION = 0.1
-"""What is kept for a controller without a record of its own: it may be starting."""
+"""Of an even part, reserved for a controller without a record of its own: it may be starting."""
 HEADROOM = 1.5
-"""How much more than was written of late is taken to be needed."""
-MEMORY_S = 2.0
+"""The demand, as a multiple of what was written of late."""
+AVERAGING_S = 2.0
+"""Time constant of the average of what was written."""
 FRESH_S = 2.5
-"""How long a sibling's word counts: told once a second, one may be missed."""
+"""How long a peer's demand counts: it is reported once a second, and one report may be missed."""
+
+
+class _PeerDemand(NamedTuple):
+    """A peer's demand, as a multiple of an even part, and when it was received."""
+
+    demand: float
+    received_at: float
 
 
 class WriteRateAllocator:
-    """What this controller may change a second."""
+    """Sets how many writes a second this controller may send."""
 
     def __init__(self, model: Model, budget: RateBudget) -> None:
         self._model = model
         self._clock = model.clock
         self._budget = budget
-        self._even = budget.per_s
-        self._siblings = [sibling.node for sibling in model.settings.siblings]
-        self._told: dict[str, tuple[float, float]] = {}
-        """Of each sibling what it needs, as parts of an even part, and when it said so."""
-        self._rate = 0.0
-        self._taken = budget.taken
-        self._looked_at = self._clock.now()
+        self._even_rate = budget.per_s
+        self._peers = [peer.node for peer in model.settings.siblings]
+        self._peer_demands: dict[str, _PeerDemand] = {}
+        self._average_rate = 0.0
+        self._taken_before = budget.taken
+        self._reviewed_at = self._clock.now()
         self.demand = MIN_FRACTION
-        """What we need, as parts of an even part; infinite if whatever there is."""
+        """Of this controller, as a multiple of an even part; infinite if its budget is used up."""
 
     def on_peer_demand(self, node: str, need: float | None) -> None:
-        """A sibling has said what it needs; None: its program does not say."""
-        self._told[node] = (1.0 if need is None else need, self._clock.now())
+        """Record a peer's demand; None: its program does not report one."""
+        demand = 1.0 if need is None else need
+        self._peer_demands[node] = _PeerDemand(demand, self._clock.now())
 
     def review(self) -> None:
-        """Look at what was written, and set our rate; called a few times a second."""
+        """Derive the demand from what was written, and set the rate; called a few times a
+        second."""
         now = self._clock.now()
-        passed_s = now - self._looked_at
-        if passed_s <= 0:
+        elapsed_s = now - self._reviewed_at
+        if elapsed_s <= 0:
             return
-        taken, self._taken = self._budget.taken - self._taken, self._budget.taken
-        self._looked_at = now
-        kept = math.exp(-passed_s / MEMORY_S)
-        self._rate = self._rate * kept + (1 - kept) * taken / passed_s
-        used_up = taken > 0 and self._budget.available() < 1.0
-        self.demand = math.inf if used_up else max(MIN_FRACTION, HEADROOM * self._rate / self._even)
+        taken = self._budget.taken - self._taken_before
+        self._taken_before = self._budget.taken
+        self._reviewed_at = now
+        decay = math.exp(-elapsed_s / AVERAGING_S)
+        self._average_rate = self._average_rate * decay + (1 - decay) * taken / elapsed_s
+        if taken > 0 and self._budget.available() < 1.0:
+            self.demand = math.inf
+        else:
+            self.demand = max(MIN_FRACTION, HEADROOM * self._average_rate / self._even_rate)
         with self._model.lock:
-            needs = [self._demand_of(name, now) for name in self._siblings]
-        self._budget.per_s = self._even * fair_parts(self.demand, needs)
+            peer_demands = [self._demand_of(name, now) for name in self._peers]
+        self._budget.per_s = self._even_rate * fair_parts(self.demand, peer_demands)
 
     def _demand_of(self, name: str, now: float) -> float:
-        need, at = self._told.get(name, (1.0, -math.inf))
-        if now - at <= FRESH_S:
-            return max(MIN_FRACTION, need)
-        # One that we have heard is there, record or not: after all have ended at once, each would
-        # take the others for absent.
+        latest = self._peer_demands.get(name)
+        if latest is not None and now - latest.received_at <= FRESH_S:
+            # A peer that reports is present, with a record or without: after all controllers have
+            # ended at once, each would take the others for absent.
+            return max(MIN_FRACTION, latest.demand)
         return 1.0 if name in self._model.controllers else ABSENT_FRACTION
 
 
 def fair_parts(own: float, others: list[float]) -> float:
-    """How many even parts one may use that needs `own` of them, beside others with their needs."""
-    hungry = sum(need > 1.0 for need in others)
+    """How many even parts a controller may use whose demand is `own`, beside the others' demands.
+
+    All demands are multiples of an even part.
+    """
+    over_demand_count = sum(demand > 1.0 for demand in others)
     if own <= 1.0:
-        # Left to others only if somebody asks for it.
-        return own if hungry else 1.0
-    left = sum(1.0 - need for need in others if need < 1.0)
-    return 1.0 + left / (hungry + 1)
+        # The rest is left to others only if one of them needs more than its part.
+        return own if over_demand_count else 1.0
+    unused = sum(1.0 - demand for demand in others if demand < 1.0)
+    return 1.0 + unused / (over_demand_count + 1)
