--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -443,7 +443,7 @@
             if self.explainer is not None and self.explainer.samples:
                 group.create_task(self.explainer.keep_samples())
             if self.migration is not None:
-                group.create_task(self.migration.keep())
+                group.create_task(self.migration.run())
             if self.runs is not None:
                 group.create_task(self.runs.keep())
             if self.attempt_log is not None:
--- a/badgerseam/rollout/__init__.py
+++ b/badgerseam/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rolling out controllers: the level of a site, a controller left empty, one after the other."""
+"""Rollouts: the site's level, handover, migration of records, and rolling updates."""
--- a/badgerseam/rollout/migration.py
+++ b/badgerseam/rollout/migration.py
@@ -1,16 +1,16 @@
-"""Carrying old records over to the form of the site's level, in the background.
-
-Some levels need nothing of the kind: what was written before stays valid, and is written anew by
-the work itself (`rollout/page_refresh.py`). Others have a form whose reader is to be dropped one
-day. Then the leader reads the keys in question page by page and writes each record that is still
-in the older form anew: on the stamps of the record and of the level, so that a step that is done
-twice, or applied late, or overtaken by the record's owner, fails and changes nothing. Nothing is
-kept of how far it has come but the records themselves: whoever leads next starts at the first key,
-and reads past what is done, a thousand records a request.
-
-After the raise nobody can write the older form any more (design.md, point 11). So one pass that
-began after it and met none proves that there is none, and only that is written into the level's
-record: `carried`. A program that has dropped the reader fits a site only when it says so.
+"""Migration of old records to the form of the site's level, in the background.
+
+Some levels need none: what was written before stays valid, and is written again in the course of
+work (`rollout/page_refresh.py`). Others have a form whose reader is to be dropped one day. Then the
+leader reads the keys in question page by page and writes each record that is still in the older
+form again: on the versions of the record and of the level, so that a step that is repeated, applied
+late, or overtaken by the record's owner fails and changes nothing. Progress is not stored: the next
+leader starts at the first key, and reads past what is migrated, a thousand records a request.
+
+After the raise no controller can write the older form any more (design.md, point 11). So one pass
+that began after it and met no old record proves that there is none, and only that is written into
+the level's record (stored as `carried`). A program that has dropped the reader supports a site only
+when the record says so.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 import logging
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from badgerseam.cluster.membership import Membership
 from badgerseam.model.keys import LEADER_KEY, LEVEL_KEY
@@ -32,51 +32,66 @@
 )
 from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
-from badgerseam.wire.rollout import MigrationProgress as CarryingView
+from badgerseam.wire.rollout import MigrationProgress
 
 log = logging.getLogger("badgerseam.rollout")
 
 PAUSE_S = 0.2
 """Between two steps: a few requests a second at most, whatever the budget is."""
 IDLE_S = 1.0
+"""Between two checks whether there is anything to migrate."""
 DEADLINE_S = 30.0
 MAX_TRANSACTION_BYTES = 32 * 1024
 """Of one step; a transaction may have 64 KiB."""
+WRITE_OVERHEAD_BYTES = 250
+"""About what a write and its condition take in a transaction beside the value."""
 
 
 class RecordFormat(Protocol):
-    """A change of form that a level brings."""
+    """A change of a record's form that a level brings."""
 
     level: int
-    """With which the newer form is written."""
+    """The level at which the newer form is written."""
     prefix: str
-    """Of the keys that may be in the older one."""
+    """Of the keys whose records may be in the older form."""
 
     def is_old(self, entry: wire.Entry) -> bool:
         """Whether a record is in the older form."""
 
     def rewrite(self, entry: wire.Entry) -> list[wire.Write]:
-        """What takes its place: at least its own key, written anew or removed. Nothing that the
-        record holds may be lost."""
+        """The writes that replace a record: at least one of its own key, put or deleted.
+
+        Nothing that the record holds may be lost.
+        """
 
 
 RECORD_FORMATS: tuple[RecordFormat, ...] = ()
-"""Those of this program. Level 2 has none: rows without a start stay valid."""
+"""The formats of this program. Level 2 has none: rows without a start stay valid."""
 
 
 @dataclass(slots=True)
 class PassProgress:
-    """Of the pass that goes on."""
+    """Progress of the present pass over the keys of a format."""
 
+    format: RecordFormat
+    level_version: int
+    """The version of the level's record when the pass began."""
     after: str | None = None
+    """The last key that was read."""
     scanned: int = 0
     old: int = 0
-    begun_at: int = 0
-    """The stamp of the level's record when it began."""
+    """Records that were in the older form."""
+
+
+class _Rewrite(NamedTuple):
+    """An old record and the writes that replace it."""
+
+    entry: wire.Entry
+    writes: list[wire.Write]
 
 
 class RecordMigration:
-    """Done by the leader for one form after the other, in the order of their levels."""
+    """Migrates, on the leader, one format after the other, in the order of their levels."""
 
     def __init__(
         self,
@@ -84,120 +99,136 @@
         member: Membership,
         state: StateClient,
         committer: GroupCommitter,
-        forms: Sequence[RecordFormat] = (),
+        formats: Sequence[RecordFormat] = (),
     ) -> None:
         self._model = model
         self._member = member
         self._state = state
         self._committer = committer
-        self._forms = sorted(forms, key=lambda form: form.level)
+        self._formats = sorted(formats, key=lambda record_format: record_format.level)
         self._pass: PassProgress | None = None
-        self._form: RecordFormat | None = None
         self.rewritten = 0
         self.overtaken = 0
         """Records that their owner, or an earlier sending, had changed meanwhile."""
-        self._since = model.clock.now()
+        self._started_at = model.clock.now()
 
-    async def keep(self) -> None:
-        """Carry over for ever; ends at once if this program has nothing that would need it."""
-        while self._forms:
-            await asyncio.sleep(PAUSE_S if await self.step() else IDLE_S)
+    async def run(self) -> None:
+        """Migrate for ever; returns at once if this program has no formats."""
+        while self._formats:
+            is_due = await self.step()
+            await asyncio.sleep(PAUSE_S if is_due else IDLE_S)
 
     def due_format(self) -> RecordFormat | None:
-        """The form that is to be carried over now."""
-        site = self._model.level
-        if not self._member.is_leader or not self._model.loaded or not self._model.is_supported:
+        """The format to which records are to be migrated now."""
+        model = self._model
+        if not self._member.is_leader or not model.loaded or not model.is_supported:
             return None
-        return next((f for f in self._forms if site.migrated < f.level <= site.level), None)
+        return next(iter(self._pending_formats()), None)
+
+    def _pending_formats(self) -> list[RecordFormat]:
+        site = self._model.level
+        return [f for f in self._formats if site.migrated < f.level <= site.level]
 
     async def step(self) -> bool:
-        """Look at one page of keys, and write anew what is old on it; whether there was anything
-        to do."""
-        form = self.due_format()
-        if form is None:
-            self._pass = self._form = None
+        """Read one page of keys, and rewrite the old records of it; whether any format is due."""
+        due = self.due_format()
+        if due is None:
+            self._pass = None
             return False
-        version = self._model.level.version
-        if self._pass is None or self._form is not form or self._pass.begun_at != version:
-            self._pass, self._form = PassProgress(begun_at=version), form
-        progress = self._pass
+        progress = self._current_pass(due)
         try:
-            page = await self._state.page(form.prefix, progress.after)
-            old = [entry for entry in page.items if form.is_old(entry)]
-            for part in self._parts(form, old):
-                await self._write(part, version)
-            progress.scanned += len(page.items)
-            progress.old += len(old)
+            page = await self._state.page(due.prefix, progress.after)
+            await self._rewrite_page(progress, page)
             if page.more and page.items:
                 progress.after = page.items[-1].key
-            elif progress.old:
-                # Whether all of it was written is for the next pass to see.
-                log.info(
-                    "level %d: %d of %d records were in the older form",
-                    form.level,
-                    progress.old,
-                    progress.scanned,
-                )
-                self._pass = None
             else:
-                await self._mark_migrated(form, progress)
-                self._pass = None
+                await self._end_pass(progress)
         except (StateUnavailableError, ProposalDroppedError, LeaseExpiredError) as error:
-            log.debug("carrying over: %r", error)
+            log.debug("migration step failed level=%d error=%r", due.level, error)
         return True
 
-    def _parts(
-        self, form: RecordFormat, entries: list[wire.Entry]
-    ) -> list[list[tuple[wire.Entry, list[wire.Write]]]]:
+    def _current_pass(self, due: RecordFormat) -> PassProgress:
+        """The pass that is under way, or a new one if the format or the site's level is another."""
+        version = self._model.level.version
+        progress = self._pass
+        if progress is None or progress.format is not due or progress.level_version != version:
+            progress = self._pass = PassProgress(due, version)
+        return progress
+
+    async def _rewrite_page(self, progress: PassProgress, page: wire.KeyPage) -> None:
+        record_format = progress.format
+        old = [entry for entry in page.items if record_format.is_old(entry)]
+        for batch in self._batches(record_format, old):
+            await self._write(batch, progress.level_version)
+        progress.scanned += len(page.items)
+        progress.old += len(old)
+
+    async def _end_pass(self, progress: PassProgress) -> None:
+        if progress.old:
+            # Whether all of them were written is for the next pass to see.
+            log.info(
+                "migration pass ended level=%d old=%d scanned=%d",
+                progress.format.level,
+                progress.old,
+                progress.scanned,
+            )
+        else:
+            await self._mark_migrated(progress)
+        self._pass = None
+
+    def _batches(
+        self, record_format: RecordFormat, entries: list[wire.Entry]
+    ) -> list[list[_Rewrite]]:
         """Rewritten records in transactions within the limits."""
-        most = self._state.params.txn_ops
-        parts: list[list[tuple[wire.Entry, list[wire.Write]]]] = []
-        room = size = 0
+        max_writes = self._state.params.txn_ops
+        batches: list[list[_Rewrite]] = []
+        free_writes = size = 0
         for entry in entries:
-            writes = form.rewrite(entry)
-            taken = sum(len(bytes(write.value or b"")) + 250 for write in writes)
-            if not parts or room < len(writes) or size + taken > MAX_TRANSACTION_BYTES:
-                parts.append([])
-                room, size = most, 0
-            parts[-1].append((entry, writes))
-            room -= len(writes)
-            size += taken
-        return parts
-
-    async def _write(self, part: list[tuple[wire.Entry, list[wire.Write]]], version: int) -> None:
-        """Write records anew; those that were overtaken are left to the next pass."""
-        while part:
-            conditions = {entry.key: entry.version for entry, _ in part}
-            conditions[LEVEL_KEY] = version
-            writes = [write for _, entries in part for write in entries]
+            writes = record_format.rewrite(entry)
+            added = sum(len(bytes(write.value or b"")) + WRITE_OVERHEAD_BYTES for write in writes)
+            if not batches or free_writes < len(writes) or size + added > MAX_TRANSACTION_BYTES:
+                batches.append([])
+                free_writes, size = max_writes, 0
+            batches[-1].append(_Rewrite(entry, writes))
+            free_writes -= len(writes)
+            size += added
+        return batches
+
+    async def _write(self, batch: list[_Rewrite], level_version: int) -> None:
+        """Write records again; those that were overtaken are left to the next pass."""
+        while batch:
+            conditions = {rewrite.entry.key: rewrite.entry.version for rewrite in batch}
+            conditions[LEVEL_KEY] = level_version
+            writes = [write for rewrite in batch for write in rewrite.writes]
             try:
                 await self._committer.commit(
-                    Urgency.MIGRATE, conditions, writes, DEADLINE_S, wanted=self._wanted
+                    Urgency.MIGRATE, conditions, writes, DEADLINE_S, wanted=self._is_leader
                 )
-            except ConditionFailedError as refusal:
-                if LEVEL_KEY in refusal.failed:
+            except ConditionFailedError as error:
+                if LEVEL_KEY in error.failed:
                     return
-                left = [item for item in part if item[0].key not in refusal.failed]
-                self.overtaken += len(part) - len(left)
-                if len(left) == len(part):
+                remaining = [item for item in batch if item.entry.key not in error.failed]
+                self.overtaken += len(batch) - len(remaining)
+                if len(remaining) == len(batch):
                     return
-                part = left
-                continue
-            self.rewritten += len(part)
-            return
+                batch = remaining
+            else:
+                self.rewritten += len(batch)
+                return
 
-    def _wanted(self) -> bool:
+    def _is_leader(self) -> bool:
         return self._member.is_leader
 
-    async def _mark_migrated(self, form: RecordFormat, progress: PassProgress) -> None:
-        """A pass has met no record of the older form: say so in the level's record."""
+    async def _mark_migrated(self, progress: PassProgress) -> None:
+        """Write into the level's record that a pass has met no record of the older form."""
         model = self._model
+        level = progress.format.level
         with model.lock:
             leader, site = model.leader_claim, model.level
-        if leader is None or site.version != progress.begun_at:
+        if leader is None or site.version != progress.level_version:
             return
-        wall = round(model.clock.wall(), 3)
-        record = wire.SiteLevel(site.level, self._member.node, wall, form.level)
+        marked_at = round(model.clock.wall(), 3)
+        record = wire.SiteLevel(site.level, self._member.node, marked_at, level)
         write = wire.Write(put=LEVEL_KEY, value=wire.raw(record))
         try:
             revision = await self._committer.commit(
@@ -205,26 +236,25 @@
                 {LEVEL_KEY: site.version, LEADER_KEY: leader.version},
                 [write],
                 DEADLINE_S,
-                wanted=self._wanted,
+                wanted=self._is_leader,
             )
-        except ConditionFailedError as refusal:
-            log.debug("not declared: %s", refusal)
+        except ConditionFailedError as error:
+            log.debug("migration not marked complete level=%d failed=%s", level, error)
             return
-        log.info("level %d: all %d records are carried over", form.level, progress.scanned)
+        log.info("migration complete level=%d scanned=%d", level, progress.scanned)
         with model.lock:
             model.apply(LEVEL_KEY, write.value, revision)
 
-    def view(self) -> CarryingView:
-        """How far it has come on this controller."""
-        site, progress = self._model.level, self._pass
-        spent = max(1e-9, self._model.clock.now() - self._since)
-        pending = [form.level for form in self._forms if site.migrated < form.level <= site.level]
-        return CarryingView(
-            site.migrated,
-            pending,
+    def view(self) -> MigrationProgress:
+        """How far the migration has come on this controller."""
+        progress = self._pass
+        elapsed_s = max(1e-9, self._model.clock.now() - self._started_at)
+        return MigrationProgress(
+            self._model.level.migrated,
+            [record_format.level for record_format in self._pending_formats()],
             0 if progress is None else progress.scanned,
             0 if progress is None else progress.old,
             self.rewritten,
             self.overtaken,
-            round(self.rewritten / spent, 3),
+            round(self.rewritten / elapsed_s, 3),
         )
--- a/badgerseam/rollout/rolling_update.py
+++ b/badgerseam/rollout/rolling_update.py
@@ -1,8 +1,8 @@
-"""One controller after the other: the order of a rollout, when it goes on, and why it stops.
+"""A rolling update: replaces one controller after the other, and stops when the site gets worse.
 
-Nothing is known here of how a process is ended and another program started: that is the platform's,
-and handed in. The site's state is asked of the controllers themselves (`GET /rollout`), each time
-anew, so that a rollout that was interrupted is begun again without harm.
+How a process is ended and another program started is the platform's part (`RolloutTarget`). The
+site's state is requested from the controllers themselves (`GET /rollout`) each time anew, so that
+an update that was interrupted can be started again without harm.
 """
 
 from __future__ import annotations
@@ -17,47 +17,55 @@
 from badgerseam.wire.rollout import View
 
 RESPONSIVE_FRACTION = 0.9
-"""Part of a controller's machines that have to report to it: some hang, or are about to go."""
-LOOK_S = 0.25
+"""Part of a controller's machines that must send it heartbeats: some hang, or are reclaimed."""
+POLL_S = 0.25
 MAX_UNANSWERED = 4
-"""Looks in a row without an answer after which a controller counts as gone."""
+"""Further requests in a row without a response after which a controller counts as gone."""
+ACTING = "acting"
+"""The state of a controller that takes part (`wire.rollout`)."""
 
 
 class RolloutStoppedError(BadgerseamError):
-    """The rollout has stopped by itself; the message says at which controller and why. Those that
-    were replaced stay so: none is put back without an operator's word."""
+    """The rolling update has stopped by itself; the message says at which controller and why.
+
+    The controllers that were replaced stay so: putting one back is the operators' decision.
+    """
 
 
 class RolloutTarget(Protocol):
-    """What a rollout is played on."""
+    """The controllers of a site, and the platform that runs their processes."""
 
     async def view(self, node: str) -> View | None:
-        """How a controller sees the site; None if it does not answer."""
+        """How a controller sees the site; None if it does not respond."""
 
     async def drain(self, node: str) -> str | None:
-        """Ask a controller to leave; why it refused, or None."""
+        """Ask a controller to drain; why it refused, or None."""
 
     async def replace(self, node: str) -> None:
-        """End a controller's process, and have it start from the new program."""
+        """End a controller's process, and start the new program in its place."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepTimeouts:
-    """How long each step may take, in seconds, before the rollout stops."""
+    """How long each step may take, in seconds, before the update stops."""
 
-    leave_s: float = 60.0
-    """From being asked until its process may be ended."""
-    back_s: float = 60.0
-    """From its end until it acts, has caught up and hears its machines."""
+    drain_s: float = 60.0
+    """From the request to drain until the process may be ended."""
+    recovery_s: float = 60.0
+    """From the end of a process until the site is healthy again, with the new one."""
     steady_s: float = 5.0
-    """How long the whole site has to be well before the next one."""
+    """How long the whole site has to be healthy before the next controller is drained."""
 
 
 ReportProgress = Callable[[str], None]
+"""Called with one line for operators after each step."""
 
 
 async def update_order(site: RolloutTarget, nodes: list[str]) -> list[str]:
-    """The controllers, the leader last: it changes hands once. Stopped if one does not answer."""
+    """The controllers, the leader last, so that the leadership changes hands once.
+
+    Raises `RolloutStoppedError` if one does not respond, or another one is configured.
+    """
     leader: str | None = None
     for node in nodes:
         view = await site.view(node)
@@ -76,115 +84,147 @@
 
 
 class RollingUpdate:
-    """Plays one rollout."""
+    """Replaces all controllers of a site, one after the other."""
 
     def __init__(
         self,
         site: RolloutTarget,
         clock: Clock,
-        told: ReportProgress,
-        limits: StepTimeouts | None = None,
+        report: ReportProgress,
+        timeouts: StepTimeouts | None = None,
     ) -> None:
         self._site = site
         self._clock = clock
-        self._told = told
-        self._limits = limits or StepTimeouts()
+        self._report = report
+        self._timeouts = timeouts or StepTimeouts()
         self._uptimes: dict[str, float] = {}
+        """The latest uptime of each controller: a lower one means that it was restarted."""
 
     async def run(self, nodes: list[str]) -> None:
-        """Replace the controllers one by one; Stopped if something got worse."""
-        limits = self._limits
+        """Replace the controllers; `RolloutStoppedError` if the site got worse."""
         for node in await update_order(self._site, nodes):
-            await self._wait_until_healthy(nodes, None, limits.back_s, limits.steady_s)
-            refusal = await self._site.drain(node)
-            if refusal is not None:
-                raise RolloutStoppedError(f"{node} cannot leave: {refusal}")
-            self._told(f"{node}: asked to leave")
-            await self._wait_until_drained(nodes, node)
-            self._told(f"{node}: holds nothing, replaced")
-            self._uptimes.pop(node, None)
-            await self._site.replace(node)
-            await self._wait_until_healthy(nodes, node, limits.back_s, 0.0)
-            self._told(f"{node}: acts again")
-        await self._wait_until_healthy(nodes, None, limits.back_s, limits.steady_s)
-        self._told("all controllers are replaced")
+            await self._wait_until_healthy(nodes, None, self._timeouts.steady_s)
+            await self._update(node, nodes)
+        await self._wait_until_healthy(nodes, None, self._timeouts.steady_s)
+        self._report("all controllers are replaced")
+
+    async def _update(self, node: str, nodes: list[str]) -> None:
+        """Drain one controller, replace it, and wait until it acts."""
+        refusal = await self._site.drain(node)
+        if refusal is not None:
+            raise RolloutStoppedError(f"{node} cannot leave: {refusal}")
+        self._report(f"{node}: asked to leave")
+        await self._wait_until_drained(nodes, node)
+        self._report(f"{node}: holds nothing, replaced")
+        self._uptimes.pop(node, None)
+        await self._site.replace(node)
+        await self._wait_until_healthy(nodes, node, 0.0)
+        self._report(f"{node}: acts again")
 
     async def _wait_until_drained(self, nodes: list[str], node: str) -> None:
-        until = self._clock.now() + self._limits.leave_s
+        until = self._clock.now() + self._timeouts.drain_s
         while self._clock.now() < until:
             await self._check_others_unchanged(nodes, node)
             view = await self._site.view(node)
             if view is not None and view.own.may_end:
                 return
-            if view is not None and view.own.state == "acting":
+            if view is not None and view.own.state == ACTING:
                 raise RolloutStoppedError(
                     f"{node} acts again: it has ended meanwhile, or was asked to return"
                 )
-            await asyncio.sleep(LOOK_S)
-        raise RolloutStoppedError(f"{node} still holds something after {self._limits.leave_s:g} s")
+            await asyncio.sleep(POLL_S)
+        raise RolloutStoppedError(
+            f"{node} still holds something after {self._timeouts.drain_s:g} s"
+        )
 
-    async def _check_others_unchanged(self, nodes: list[str], but: str | None) -> None:
-        """Stopped if another controller than the one at work has ended meanwhile."""
+    async def _check_others_unchanged(self, nodes: list[str], updated: str | None) -> None:
+        """Stop if a controller other than the one that is updated has ended meanwhile."""
         for node in nodes:
-            if node == but:
+            if node == updated:
                 continue
-            view = await self._site.view(node)
-            if view is None:
-                # It may be slow, or cut off for a moment.
-                for _ in range(MAX_UNANSWERED):
-                    await asyncio.sleep(LOOK_S)
-                    view = await self._site.view(node)
-                    if view is not None:
-                        break
-                else:
-                    raise RolloutStoppedError(f"{node} does not answer any more")
-            before = self._uptimes.get(node, 0.0)
-            if view.own.uptime_s < before:
+            view = await self._view_with_retries(node)
+            if view.own.uptime_s < self._uptimes.get(node, 0.0):
                 raise RolloutStoppedError(f"{node} has ended and started anew by itself")
             self._uptimes[node] = view.own.uptime_s
 
+    async def _view_with_retries(self, node: str) -> View:
+        """How a controller sees the site; it may be slow, or cut off for a moment."""
+        view = await self._site.view(node)
+        retries = 0
+        while view is None:
+            if retries == MAX_UNANSWERED:
+                raise RolloutStoppedError(f"{node} does not answer any more")
+            retries += 1
+            await asyncio.sleep(POLL_S)
+            view = await self._site.view(node)
+        return view
+
     async def _wait_until_healthy(
-        self, nodes: list[str], fresh: str | None, within_s: float, steady_s: float
+        self, nodes: list[str], replaced: str | None, steady_s: float
     ) -> None:
-        """Wait until nothing is wrong, for so long; Stopped with what is if it lasts. `fresh`: the
-        one that has just been replaced, which is not there at first."""
-        until = self._clock.now() + within_s
-        since: float | None = None
+        """Wait until the site has been healthy for so long; stop with the problem if it lasts.
+
+        `replaced`: the controller that was just replaced, which does not respond at first.
+        """
+        until = self._clock.now() + self._timeouts.recovery_s
+        healthy_since: float | None = None
         while True:
-            wrong = await self._problem(nodes, fresh)
+            problem = await self._problem(nodes, replaced)
             now = self._clock.now()
-            if wrong is None:
-                since = now if since is None else since
-                if now - since >= steady_s:
+            if problem is None:
+                healthy_since = now if healthy_since is None else healthy_since
+                if now - healthy_since >= steady_s:
                     return
             else:
-                since = None
+                healthy_since = None
                 if now >= until:
-                    raise RolloutStoppedError(wrong)
-            await asyncio.sleep(LOOK_S)
+                    raise RolloutStoppedError(problem)
+            await asyncio.sleep(POLL_S)
 
-    async def _problem(self, nodes: list[str], fresh: str | None) -> str | None:
-        """What keeps the site from being well, if anything."""
-        await self._check_others_unchanged(nodes, fresh)
+    async def _problem(self, nodes: list[str], replaced: str | None) -> str | None:
+        """What keeps the site from being healthy, if anything."""
+        await self._check_others_unchanged(nodes, replaced)
         for node in nodes:
             view = await self._site.view(node)
             if view is None:
                 return f"{node} does not answer"
-            own = view.own
-            if own.state != "acting":
-                return f"{node} is {own.state}"
-            if not own.caught_up:
-                return f"{node} does not follow the state service"
-            if own.responsive_machines < RESPONSIVE_FRACTION * own.machines:
-                return f"{node} hears {own.responsive_machines} of its {own.machines} machines"
-            for entry in view.controllers:
-                if entry.state != "acting":
-                    return f"{entry.node} is {entry.state}, as {node} sees it"
-            if view.shards_without_actor:
-                return f"shares without an actor: {view.shards_without_actor}"
-            if view.leader is None:
-                return "nobody leads"
-            shards = {entry.node: len(entry.shards) for entry in view.controllers}
-            if not shards.get(node) and sum(shards.values()) >= len(nodes):
-                return f"{node} acts for no share yet"
+            problem = (
+                _own_problem(node, view)
+                or _site_problem(node, view)
+                or _idle_problem(node, view, len(nodes))
+            )
+            if problem is not None:
+                return problem
         return None
+
+
+def _own_problem(node: str, view: View) -> str | None:
+    """Why a controller itself is not healthy, if it is not."""
+    own = view.own
+    if own.state != ACTING:
+        return f"{node} is {own.state}"
+    if not own.caught_up:
+        return f"{node} does not follow the state service"
+    if own.responsive_machines < RESPONSIVE_FRACTION * own.machines:
+        return f"{node} hears {own.responsive_machines} of its {own.machines} machines"
+    return None
+
+
+def _site_problem(node: str, view: View) -> str | None:
+    """What a controller sees wrong with the others, the shards or the leadership, if anything."""
+    for controller in view.controllers:
+        if controller.state != ACTING:
+            return f"{controller.node} is {controller.state}, as {node} sees it"
+    if view.shards_without_actor:
+        return f"shares without an actor: {view.shards_without_actor}"
+    if view.leader is None:
+        return "nobody leads"
+    return None
+
+
+def _idle_problem(node: str, view: View, node_count: int) -> str | None:
+    """Whether a controller owns no shard, although there are enough for all."""
+    shard_counts = {controller.node: len(controller.shards) for controller in view.controllers}
+    if not shard_counts.get(node) and sum(shard_counts.values()) >= node_count:
+        return f"{node} acts for no share yet"
+    return None
