--- a/badgerseam/store/__init__.py
+++ b/badgerseam/store/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: its client, the replica that follows it, and the only writer."""
+"""The stored state: the client of the state service, the state watcher, and all its writers."""
--- a/badgerseam/store/client.py
+++ b/badgerseam/store/client.py
@@ -105,13 +105,18 @@
         """Count of all responses, refusals of every kind included: an outage refuses."""
 
     async def _call(
-        self, method: str, path: str, body: bytes | None, deadline_s: float, spared: float = 0.0
+        self,
+        method: str,
+        path: str,
+        body: bytes | None,
+        deadline_s: float,
+        reserve_fraction: float = 0.0,
     ) -> tuple[int, bytes]:
         """The status and body of a response other than a refusal for rate or a server error.
 
-        `spared`: the part of a second's requests that is left to other callers.
+        `reserve_fraction`: the part of a second's requests that is left to other callers.
         """
-        await self._take_request(deadline_s, spared * self.requests.per_s)
+        await self._take_request(deadline_s, reserve_fraction * self.requests.per_s)
         sent_at = self._clock.now()
         try:
             response = await self._http.request(self._address, method, path, body, deadline_s)
@@ -140,10 +145,10 @@
             await asyncio.sleep(wait_s)
 
     async def get(
-        self, key: str, deadline_s: float = 2.0, spared: float = 0.0
+        self, key: str, deadline_s: float = 2.0, reserve_fraction: float = 0.0
     ) -> wire.Entry | None:
-        """The entry of a key, or None if the key does not exist. `spared`: see `_call`."""
-        status, body = await self._call("GET", f"/keys/{key}", None, deadline_s, spared)
+        """The entry of a key, or None if it does not exist; `reserve_fraction`: see `_call`."""
+        status, body = await self._call("GET", f"/keys/{key}", None, deadline_s, reserve_fraction)
         if status == 404:
             return None
         return _decode(wire.entry_decoder, status, body)
@@ -161,16 +166,16 @@
         conditions: list[wire.Condition],
         then: list[wire.Write],
         deadline_s: float = 2.0,
-        spared: float = 0.0,
+        reserve_fraction: float = 0.0,
     ) -> int:
         """Commit the writes if all conditions hold; the revision of the commit.
 
-        The caller has taken the writes from the budget. `spared`: see `_call`. Raises
+        The caller has taken the writes from the budget. `reserve_fraction`: see `_call`. Raises
         `ConditionFailedError`, `LeaseExpiredError` if a write's lease has ended, and
         `MalformedRequestError`.
         """
         body = wire.encode(wire.Transaction(conditions, then))
-        status, reply = await self._call("POST", "/txn", body, deadline_s, spared)
+        status, reply = await self._call("POST", "/txn", body, deadline_s, reserve_fraction)
         if status == 409:
             raise ConditionFailedError(_decode(wire.committed_decoder, 200, reply).failed)
         if status == 400 and any(write.lease is not None for write in then):
