--- a/badgerseam/levels/__init__.py
+++ b/badgerseam/levels/__init__.py
@@ -1,1 +1,1 @@
-"""Levels of the stored state: which there are, and which of them a program reads and writes."""
+"""Levels of the stored state, and which of them a program supports."""
--- a/badgerseam/store/committer.py
+++ b/badgerseam/store/committer.py
@@ -120,27 +120,36 @@
         `StateUnavailableError` after the deadline, `ProposalRejectedError` if the proposal is
         malformed, `ProposalDroppedError` when it is no longer wanted.
         """
-        loop = asyncio.get_running_loop()
         now = self._clock.now()
         proposal = Proposal(
             urgency,
             conditions,
             writes,
-            loop.create_future(),
+            asyncio.get_running_loop().create_future(),
             proposed_at=now,
             deadline=None if deadline_s is None else now + deadline_s,
             wanted=wanted,
         )
+        self._schedule_promotions(proposal, patience_s, deadline_s, priority_class)
+        self._queue.push(proposal, self._clock.now())
+        self._send_ready()
+        return await proposal.future
+
+    def _schedule_promotions(
+        self,
+        proposal: Proposal,
+        patience_s: float | None,
+        deadline_s: float | None,
+        priority_class: int,
+    ) -> None:
+        loop = asyncio.get_running_loop()
         if patience_s is not None:
-            proposal.promoted_at = now + patience_s
+            proposal.promoted_at = proposal.proposed_at + patience_s
             loop.call_later(patience_s, self._promote, proposal)
         if priority_class and deadline_s is not None:
             # Behind a stream of others for good, it would never be answered.
             proposal.priority_class = priority_class
             loop.call_later(deadline_s / 2, self._promote_to_first_class, proposal)
-        self._queue.push(proposal, self._clock.now())
-        self._send_ready()
-        return await proposal.future
 
     def _promote_to_first_class(self, proposal: Proposal) -> None:
         if not proposal.future.done():
