--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -139,7 +139,7 @@
             if self.explainer is not None and self.explainer.samples:
                 group.create_task(self.explainer.keep_samples())
             if self.rollout is not None:
-                group.create_task(self.rollout.migration.keep())
+                group.create_task(self.rollout.migration.run())
             if self.runs is not None:
                 group.create_task(self.runs.run_forever())
             if self.accounts is not None and self.accounts.log is not None:
