--- a/badgerseam/model/state.py
+++ b/badgerseam/model/state.py
@@ -116,3 +116,10 @@
     """A transaction with tasks of the share is on its way; there is one at a time."""
     previous_owner: str | None = None
     """The controller that held the share before its present claim, as far as known."""
+
+    def forget_pending_writes(self) -> None:
+        """Drop what is to be made durable."""
+        self.planned.clear()
+        self.completions_due.clear()
+        self.notes_due.clear()
+        self.notes_deferred.clear()
--- /dev/null
+++ b/badgerseam/model/task_pages.py
@@ -0,0 +1,126 @@
+"""Applying pages of the task logs: which tasks are done, and which are placed where."""
+
+from __future__ import annotations
+
+import msgspec
+
+from badgerseam.model.job import FINISHED, Attempt, Job, Phase, Stage
+from badgerseam.model.placements import Placements
+from badgerseam.model.state import Page
+from badgerseam.wire import state as wire
+
+START_UNITS_PER_S = 10
+"""Rows store the start of an attempt in tenths of a second after the job's acceptance."""
+
+
+def apply_page(
+    model: Placements, shard: int, number: int, value: msgspec.Raw | None, version: int
+) -> None:
+    """Apply a change of a page; None is a removal."""
+    if shard >= len(model.shards):
+        return
+    entries = [] if value is None else wire.page_decoder.decode(value)
+    page = Page(version, {entry.job: entry for entry in entries})
+    before = model.pages[shard].pop(number, None)
+    if value is not None:
+        model.pages[shard][number] = page
+    if model.shards[shard].owned:
+        # The owner acts on what it wrote itself.
+        return
+    known = {} if before is None else before.jobs
+    for entry in entries:
+        # A page is written whole, mostly with what it contained before.
+        job = None if known.get(entry.job) == entry else model.job(entry.job)
+        if job is not None:
+            apply_job_rows(model, job, entry, number)
+    if before is not None:
+        _unplace_removed_rows(model, before, page)
+
+
+def apply_job_rows(model: Placements, job: Job, entry: wire.JobRows, page: int) -> None:
+    """Apply what a page contains of a job. Pages are read in any order: a task's latest attempt
+    counts, and what is done stays so."""
+    for chunk, bits in entry.done:
+        new_bits = int(bits, 16) & ~job.done_bits.get(chunk, 0)
+        if new_bits:
+            job.done_bits_page[chunk] = page
+            _apply_done_bits(model, job, chunk, new_bits)
+    for note in entry.notes:
+        job.read_note(note, page)
+    starts = dict(entry.starts)
+    for row in entry.rows:
+        _apply_row(model, job, row, starts.get(row.task))
+
+
+def _unplace_removed_rows(model: Placements, before: Page, after: Page) -> None:
+    """Tasks of cancelled jobs that the owner no longer lists are certainly gone."""
+    for name, entry in before.jobs.items():
+        job = model.job(name)
+        if job is None or job.phase == Phase.OPEN:
+            continue
+        remaining = after.jobs.get(name)
+        remaining_tasks = set() if remaining is None else {row.task for row in remaining.rows}
+        for row in entry.rows:
+            attempt = job.attempts.get(row.task)
+            if row.task not in remaining_tasks and attempt and attempt.number == row.attempt:
+                model.unplace(attempt)
+
+
+def _apply_done_bits(model: Placements, job: Job, chunk: int, bits: int) -> None:
+    """Mark the tasks of a chunk as finished whose bits are set."""
+    while bits:
+        lowest = bits & -bits
+        bits ^= lowest
+        task = chunk * job.chunk_size + lowest.bit_length() - 1
+        if task >= job.tasks:
+            break
+        attempt = job.attempts.get(task)
+        if attempt is not None:
+            model.unplace(attempt)
+        job.mark_done(task)
+        if job.status[task] != FINISHED:
+            job.status[task] = FINISHED
+            job.finished += 1
+
+
+def _apply_row(model: Placements, job: Job, row: wire.TaskRow, start: int | None) -> None:
+    """Apply a task's row; `start`: when its attempt began to run, if the page says so."""
+    task = row.task
+    if task >= job.tasks or job.status[task] == FINISHED:
+        return
+    if row.attempt < job.tries.get(task, 0):
+        return
+    job.tries[task] = row.attempt
+    machine_index = _machine_index(model, job, row)
+    attempt = job.attempts.get(task)
+    if attempt is not None:
+        if machine_index == attempt.machine.index and attempt.number == row.attempt:
+            _set_start(model, attempt, start)
+            return
+        if row.machine is None and attempt.number == row.attempt:
+            job.record_unexplained_end(model.clock.now(), attempt.machine.index)
+        model.unplace(attempt)
+    if machine_index is not None:
+        machine = model.machines[machine_index]
+        placed = model.place(job, task, row.attempt, machine, Stage.PLACED)
+        placed.inherited = placed.unseen = True
+        # An earlier owner may have launched it.
+        job.on_launch_sent(placed)
+        _set_start(model, placed, start)
+
+
+def _machine_index(model: Placements, job: Job, row: wire.TaskRow) -> int | None:
+    """Index of a row's machine, unless it has been moved to another shard since, which happens
+    only with nothing on it."""
+    index = None if row.machine is None else model.machine_index.get(row.machine)
+    if index is not None and model.machines[index].shard != job.shard:
+        return None
+    return index
+
+
+def _set_start(model: Placements, attempt: Attempt, start: int | None) -> None:
+    """Set when an attempt of another owner began to run, if its row says so."""
+    if start is not None:
+        ran_s = model.clock.wall() - (attempt.job.submitted + start / START_UNITS_PER_S)
+        attempt.started_at = model.clock.now() - max(0.0, ran_s)
+        attempt.inherited = False
