--- a/badgerseam/model/accounts.py
+++ b/badgerseam/model/accounts.py
@@ -1,4 +1,4 @@
-"""Who is told of the ends of jobs and attempts, where accounts are kept."""
+"""The interface through which the model reports jobs and attempts to the accounting."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 
 class JobAccounting(Protocol):
-    """Told by the model what happens to jobs, with the model's lock held."""
+    """Called by the model at each change of a job, with the model's lock held."""
 
     loading: bool
-    """A share is being read: what is placed and taken back then is no news."""
+    """A shard is being reloaded: what is placed and unplaced then is no new event."""
 
     def on_final_record(self, job_id: str, stored: StoredJob, version: int) -> None:
         """A job's final record, from the replica or written here."""
 
     def next_unsummarized(self) -> list[tuple[str, UnsummarizedJob]]:
-        """Cancelled jobs of owned shares that have left all machines, a few of them."""
+        """Cancelled jobs of owned shards that have left all machines, a few of them."""
 
     def summarized_record(self, entry: UnsummarizedJob) -> StoredJob:
         """The final record of a cancelled job with its summary, without its description."""
 
     def on_job_opened(self, job: Job) -> None:
-        """A job has become known, or its share is read anew by its new owner."""
+        """A job has become known, or its shard was reloaded."""
 
     def on_attempt_placed(self, attempt: Attempt) -> None:
         """An attempt has become durable."""
--- a/badgerseam/model/placements.py
+++ b/badgerseam/model/placements.py
@@ -16,7 +16,7 @@
     """Changes of attempts and ended jobs, which keep all indices and accounts consistent."""
 
     def place(self, job: Job, task: int, number: int, machine: Machine, stage: Stage) -> Attempt:
-        """Put a task on a machine; its team pays from now on."""
+        """Place a task on a machine; it counts against its team's quota from now on."""
         attempt = Attempt(job, task, number, machine, stage)
         attempt.planned_at = self.clock.now()
         if stage == Stage.PLANNED:
@@ -29,7 +29,7 @@
         return attempt
 
     def unplace(self, attempt: Attempt) -> None:
-        """The attempt is certainly over."""
+        """Remove an attempt that is certainly over."""
         machine = attempt.machine
         if self.accounts is not None and attempt.stage != Stage.PLANNED and not attempt.finishing:
             self.accounts.on_attempt_ended(attempt, done=False)
@@ -43,7 +43,10 @@
             self.settle(attempt.job)
 
     def finish(self, attempt: Attempt, write_by: float) -> None:
-        """The attempt's task has completed; the machine's room is free."""
+        """Record that an attempt's task has completed, which frees its resources.
+
+        `write_by`: when the completion is to be made durable at the latest.
+        """
         job, task = attempt.job, attempt.task
         if job.status[task] == FINISHED:
             return
@@ -62,9 +65,10 @@
             attempt.machine.idle_since = self.clock.now()
 
     def failure_is_recorded(self, job: Job, task: int, attempt: int) -> bool:
-        """Whether nothing that is still to be written would be lost with what a worker shows of
-        an attempt that has failed: reaped before its failure is durable, the next owner would
-        count one less."""
+        """Whether an attempt that has failed may be reaped without losing what is to be written.
+
+        Reaped before its failure is durable, the next owner would count one less.
+        """
         key = (wire.StoredFailures, task)
         note = job.notes.get(key)
         if (
@@ -79,7 +83,7 @@
         return entry is not None and note in entry.notes
 
     def forget_finished(self, attempt: Attempt) -> None:
-        """The finished task is durable: its machine may be told to reap it."""
+        """A finished task is durable: its machine may be commanded to reap it."""
         attempt.job.detach(attempt)
         self.machines_to_push.add(attempt.machine.index)
 
--- a/tests/workers/test_fault_attribution.py
+++ b/tests/workers/test_fault_attribution.py
@@ -5,7 +5,8 @@
 import asyncio
 from itertools import pairwise
 
-from badgerseam.model.job import MAX_RETRY_PAUSE_S, Job
+from badgerseam.model.failure_history import MAX_RETRY_PAUSE_S
+from badgerseam.model.job import Job
 from badgerseam.settings import Team
 from tests.support.scripted_peers import ControllerFixture, Worker
 
