--- a/badgerseam/workers/lease_expiry.py
+++ b/badgerseam/workers/lease_expiry.py
@@ -76,7 +76,9 @@
         self._tasks = BackgroundTasks()
         workers = model.settings.params.workers
         self._lease_bound_s = workers.lease_s * CLOCK_DRIFT + tunables.margin_s
-        self._heartbeat_interval_s = workers.report_s
+        self._max_silence_s = UNRESPONSIVE_INTERVALS * workers.report_s
+        self._recent_s = RECENT_INTERVALS * workers.report_s
+        self._confirmation_s = 2 * workers.report_s
 
     def expire_leases(self) -> list[Machine]:
         """Give up machines whose leases have certainly ended; return those newly lost.
@@ -144,39 +146,26 @@
     def _classify(self, now: float) -> _Responsiveness:
         """Sort the machines of owned shards by how they respond."""
         result = _Responsiveness()
+        heard_by_zone = result.heard_by_zone
+        shards = self._model.shards
+        max_silence_s = self._max_silence_s
         for machine in self._model.machines.values():
-            shard = self._model.shards[machine.shard]
-            if machine.lost or machine.dropped or not shard.owned:
+            if machine.lost or machine.dropped or not shards[machine.shard].owned:
                 continue
-            if self._is_silent(machine, now):
+            unheard_s = now - machine.last_heartbeat_at
+            if unheard_s > max_silence_s and now - _silent_since(machine) > max_silence_s:
                 if _is_missed(machine):
                     result.silent.append(machine)
             elif machine.missed_answers:
                 if fails_to_acknowledge(machine, now) and not machine.given_up:
                     result.unacknowledging.append(machine)
-            elif self._is_heard(machine, now):
-                result.heard_by_zone[machine.zone] += 1
+            elif machine.incarnation > 0 and unheard_s <= self._recent_s:
+                # Only what was heard since the others fell silent shows that the trouble lies with
+                # them: when a zone is cut off, all of its machines fall silent within one interval,
+                # and the first to be missed were given up since the last seemed to be heard still.
+                heard_by_zone[machine.zone] += 1
         return result
 
-    def _is_silent(self, machine: Machine, now: float) -> bool:
-        """Whether a machine has not been heard for a while, counted from a takeover at most."""
-        heard_at = max(
-            machine.last_heartbeat_at,
-            machine.owned_since,
-            machine.first_unverified_at or machine.owned_since,
-        )
-        return now - heard_at > UNRESPONSIVE_INTERVALS * self._heartbeat_interval_s
-
-    def _is_heard(self, machine: Machine, now: float) -> bool:
-        """Whether a machine has been heard since others may have fallen silent.
-
-        Only that shows that the trouble lies with those: when a zone is cut off, all of its
-        machines fall silent within one interval, and the first to be missed were given up since
-        the last seemed to be heard still.
-        """
-        passed_s = now - machine.last_heartbeat_at
-        return machine.incarnation > 0 and passed_s <= RECENT_INTERVALS * self._heartbeat_interval_s
-
     async def _probe_unacknowledging(self, machine: Machine) -> None:
         """Probe a machine that sends heartbeats and acknowledges no answer.
 
@@ -245,7 +234,13 @@
     def _is_lease_recent(self) -> bool:
         """Whether the state service has confirmed our lease so recently that what is not heard is
         no fault of ours."""
-        return self._member.lease_confirmed_within(2 * self._heartbeat_interval_s)
+        return self._member.lease_confirmed_within(self._confirmation_s)
+
+
+def _silent_since(machine: Machine) -> float:
+    """When the silence of a machine began: with its last heartbeat, but not before a takeover."""
+    owned_since = machine.owned_since
+    return max(machine.last_heartbeat_at, owned_since, machine.first_unverified_at or owned_since)
 
 
 def _is_missed(machine: Machine) -> bool:
