--- a/badgerseam/standby/successors.py
+++ b/badgerseam/standby/successors.py
@@ -1,32 +1,28 @@
-"""Who stands by for whom: the same answer everywhere, from the records that everybody follows."""
+"""Who takes over from a controller, and on which lease that controller's claims stand."""
 
 from __future__ import annotations
 
+from badgerseam.cluster.candidates import candidates_besides
 from badgerseam.model.model import Model
 
 
 def successors(model: Model, order: list[str], node: str) -> list[str]:
-    """The controllers that stand by for a controller, for all that it holds, the first one first.
+    """The controllers that take over all that a controller owns, the first in line first.
 
-    Pure in the controllers' own records, the claims and the order of names: the least busy of those
-    that take shares, which are also the first whose turn it is once the claims fall.
+    It depends on the controllers' own records, the claims and the order of names alone, so that all
+    agree without a message: the least busy of those that take shards, which are also the first
+    whose turn it is to claim once the controller's claims end.
     """
-    load = {
-        name: 0
-        for name, held in model.controllers.items()
-        if name != node and not held.record.unavailable
-    }
-    for shard in model.shards:
-        if shard.claim is not None and shard.claim.record.node in load:
-            load[shard.claim.record.node] += 1
-    return sorted(load, key=lambda name: (load[name], order.index(name)))
+    return candidates_besides(model, order, node)
 
 
 def lease_of(model: Model, node: str) -> int | None:
-    """The state lease of a controller that holds a share or the leadership; None if it holds none.
+    """The lease of a controller that owns a shard or leads; None if it does neither.
 
     The lease's number is in the claim: it is that of the very process that took it.
     """
     claims = [shard.claim for shard in model.shards] + [model.leader_claim]
-    leases = {held.record.lease for held in claims if held is not None and held.record.node == node}
+    leases = {
+        claim.record.lease for claim in claims if claim is not None and claim.record.node == node
+    }
     return max(leases, default=None)
