--- a/badgerseam/cluster/__init__.py
+++ b/badgerseam/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Shares, claims, leadership and the other controllers."""
+"""The controllers among each other: leases, claims, leadership, takeovers, partitions."""
--- a/badgerseam/cluster/availability.py
+++ b/badgerseam/cluster/availability.py
@@ -1,4 +1,4 @@
-"""Why a controller takes no part."""
+"""Why a controller takes no shards."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class UnavailableReason(Enum):
-    """Why this controller takes no share, and others are to act for it."""
+    """A reason for which this controller takes no shard, and others are to act for its own."""
 
     NO_HEARTBEATS = "hears no worker"
     DRAINING = "was asked to leave"
--- a/badgerseam/standby/__init__.py
+++ b/badgerseam/standby/__init__.py
@@ -1,1 +1,1 @@
-"""The warm standby: who replaces a controller that has ended, and what is checked first."""
+"""The warm standby: it detects that a controller has ended, and prepares its replacement."""
--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -1,27 +1,26 @@
-"""Noticing that a controller has ended, and ending its state lease so that its claims fall at once.
+"""Detects that a controller has ended, and revokes its lease so that its claims end at once.
 
-A request to each sibling is held open there, so that the end of its process shows as the end of the
-connection; from then on it is asked every `probe_s`. Connections refused or reset some times in a
-row make a suspicion, nothing else does: a process that stands still, is starved, or sits behind a
+A request to each peer is held open there, so that the end of its process shows as the end of the
+connection; from then on it is probed every `probe_s`. Connections refused or reset some times in a
+row make a suspicion, nothing else does: a process that is suspended, is starved, or sits behind a
 link that loses packets accepts connections, or does not answer at all, and keeps its lease for as
 long as that lasts by itself.
 
 A refusal is no proof: a filter between controllers refuses too. So there are three more witnesses.
-The other sibling must see the same, or workers of that owner come here, which they do when it does
+The other peer must see the same, or workers of that owner come here, which they do when it does
 not answer them. And the suspected controller is asked through the state service: our own record
 names it, and it answers by writing its own. One that is well with the state service, and cut off
-from its siblings alone, answers and stays.
+from its peers alone, answers and stays.
 
-What is ended by mistake is the cut owner of points 5 and 6 of the safety argument (docs/design.md):
-its renewals end with the lease, so that the bound it may go on answering for is counted from before
-that, and the next owner counts the whole bound from after it.
+A controller whose lease is revoked by mistake is the cut owner of points 5 and 6 of the safety
+argument (docs/design.md): its renewals end with the lease, so that the bound it may go on answering
+for is counted from before that, and the next owner counts the whole bound from after it.
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable, Coroutine
-from dataclasses import dataclass, field
 
 import msgspec
 
@@ -34,6 +33,7 @@
 )
 from badgerseam.model.model import Model
 from badgerseam.options.standby import StandbyOptions
+from badgerseam.standby.peer_state import MAX_REST_S, MIN_REST_S, PeerState, Suspicion
 from badgerseam.standby.successors import lease_of, successors
 from badgerseam.store.client import LeaseExpiredError, StateClient, StateUnavailableError
 from badgerseam.wire import standby as wire
@@ -41,68 +41,29 @@
 log = logging.getLogger("badgerseam.standby")
 
 HOLD_S = 1.0
-"""How long a request is held open at the sibling that it is sent to."""
-LATE_S = 1.0
-"""After that an answer is late, and tells of nothing but silence."""
-VIEW_S = 0.3
+"""How long a request is held open at the peer that it is sent to."""
+RESPONSE_GRACE_S = 1.0
+"""How much later a response may come; after that it tells of nothing but silence."""
+VIEW_DEADLINE_S = 0.3
+"""What another peer gets to say how it sees the suspected one."""
 CONFIRMATIONS_NEEDED = 2
-"""Refusals in a row at the other sibling with which it agrees: it may have noticed later."""
+"""Refusals in a row at the other peer with which it agrees: it may have noticed later."""
 TURN_S = 0.4
 """How long those in line leave it to the one before them, beyond the time for an answer."""
-END_S = 1.0
+REVOKE_DEADLINE_S = 1.0
 MAX_STEP_S = 0.3
-"""Between two looks; one that stood still for longer begins its doubts anew."""
-REST_S, MAX_REST_S = 5.0, 60.0
-"""After a sign of life of one that refuses us: a filter may stay for long, and each question costs
-two changes. Doubled each time."""
+"""Between two steps; after a longer pause of ours all suspicions are dropped."""
+MIN_REFUSAL_SPAN_FRACTION = 0.9
+"""Of the time that the refusals needed for a suspicion take by their probes."""
 MAX_BACKOFF_S = 86400.0
 
 Ask = Callable[[str, str, bytes, float], Coroutine[None, None, bytes]]
-"""Asks a sibling: its name, the path, the body, a deadline in seconds; NoResponse without one."""
-
-
-@dataclass(slots=True)
-class Suspicion:
-    """A controller under suspicion."""
-
-    lease: int
-    opened_at: float
-    mark: int
-    """The stamp of its own record when it came under suspicion."""
-    confirmed: bool = False
-    asking: bool = False
-    asked_at: float = -1e9
-    summons_sent: int = 0
-    """The stamp of our own record before it named the suspected one; 0: not yet."""
-    shown_at: float | None = None
-    """When our replica showed our record with its name, which it can have read as well by then."""
-    ending: bool = False
-
-
-@dataclass(slots=True)
-class PeerState:
-    """What is known of a sibling from asking it."""
-
-    next_at: float = 0.0
-    asking: bool = False
-    refused: int = 0
-    first_at: float = 0.0
-    process: str = ""
-    number: int = 0
-    suspicion: Suspicion | None = None
-    redirected_workers: set[str] = field(default_factory=set)
-    """Its workers that came to us since the first refusal."""
-    backoff_after_end_s: float = REST_S
-    resting_until: float = -1e9
-    ended: str | None = None
-    """The process whose lease was ended, until another one answers."""
-    ends: int = 0
-    backoff_s: float = 0.0
-    retry_after: float = -1e9
+"""Sends a peer a request: its name, the path, the body, a deadline in seconds; NoResponseError
+without a response."""
 
 
 class FailureDetector:
-    """Stands by for the siblings; `step` drives it, several times in `probe_s`."""
+    """Watches the peers; `step` drives it, several times in `probe_s`."""
 
     def __init__(
         self,
@@ -111,224 +72,253 @@
         state: StateClient,
         options: StandbyOptions,
         ask: Ask,
-        steady: Callable[[], bool],
-        told: Callable[[str, wire.SoftStateUpdate], None],
+        is_steady: Callable[[], bool],
+        on_update: Callable[[str, wire.SoftStateUpdate], None],
     ) -> None:
-        """`steady`: whether our own lease is confirmed after any pause; `told`: takes what a
-        sibling has told."""
+        """`is_steady`: whether our own lease is confirmed after any pause; `on_update`: takes the
+        soft state that a peer has sent, with the peer's name."""
         self._model = model
         self._member = member
         self._state = state
         self._options = options
         self._ask = ask
-        self._steady = steady
-        self._told = told
+        self._is_steady = is_steady
+        self._on_update = on_update
         self._clock = model.clock
         self.peers = {name: PeerState() for name in member.order if name != member.node}
         self._stepped_at = self._clock.now()
         self._answered: dict[str, int] = {}
-        """Of each sibling the stamp of its record that we have answered for."""
+        """Of each peer the version of its record that we have answered."""
         self._tasks = BackgroundTasks()
 
-    # ---- driving ----
-
     def step(self) -> None:
-        """Ask whom it is time to ask, and go on with what is suspected."""
+        """Probe the peers that are due, and go on with what is suspected."""
         now = self._clock.now()
-        paused = now - self._stepped_at > MAX_STEP_S
+        has_paused = now - self._stepped_at > MAX_STEP_S
         self._stepped_at = now
-        self._answer()
-        for name, line in self.peers.items():
-            if paused:
-                # Answers may lie unread, and what was seen before it is old.
-                self._clear(name, line)
-            if not line.asking and now >= line.next_at:
-                line.asking = True
-                self._tasks.spawn(self._follow(name, line))
-            self._review_suspicion(name, line, now)
-
-    # ---- what is seen ----
-
-    async def _follow(self, name: str, line: PeerState) -> None:
-        body = wire.encode(wire.FollowRequest(self._member.node, line.process, line.number))
+        self._give_signs_of_life()
+        for name, peer in self.peers.items():
+            if has_paused:
+                # Answers may lie unread, and what was seen before the pause is old.
+                self._clear_suspicion(name, peer)
+            if not peer.is_probing and now >= peer.next_probe_at:
+                peer.is_probing = True
+                self._tasks.spawn(self._probe(name, peer))
+            self._review_suspicion(name, peer, now)
+
+    def on_redirected_worker(self, owner: str, machine: str) -> None:
+        """A worker of an owner has sent its heartbeat to us."""
+        peer = self.peers.get(owner)
+        if peer is not None and peer.refusals:
+            peer.redirected_workers.add(machine)
+
+    def view_of(self, name: str) -> wire.PeerView:
+        """How we see a peer, for the other one."""
+        peer = self.peers.get(name)
+        return wire.PeerView(0 if peer is None else peer.refusals)
+
+    # ---- probing ----
+
+    async def _probe(self, name: str, peer: PeerState) -> None:
+        body = wire.encode(wire.FollowRequest(self._member.node, peer.process, peer.number))
         try:
-            told = wire.update_decoder.decode(
-                await self._ask(name, "/standby/follow", body, HOLD_S + LATE_S)
+            update = wire.update_decoder.decode(
+                await self._ask(name, "/standby/follow", body, HOLD_S + RESPONSE_GRACE_S)
             )
         except (ConnectionRefusedByPeerError, ConnectionResetByPeerError):
-            now = self._clock.now()
-            if line.refused == 0:
-                line.first_at = now
-                line.redirected_workers.clear()
-            line.refused += 1
-            # Of one that holds nothing there is nothing to be found out soon.
-            holds = lease_of(self._model, name) is not None
-            line.next_at = now + (self._options.probe_s if holds else HOLD_S / 2)
+            self._on_refusal(name, peer)
         except (NoResponseError, msgspec.DecodeError):
             # Silent, or another program: neither is a sign of an end.
-            self._clear(name, line)
-            line.next_at = self._clock.now() + HOLD_S
+            self._clear_suspicion(name, peer)
+            peer.next_probe_at = self._clock.now() + HOLD_S
         else:
-            self._clear(name, line)
-            self._recognize(name, line, told.process)
-            line.number = told.number
-            line.next_at = self._clock.now() + (0.0 if told.holds_claims else HOLD_S)
-            self._told(name, told)
+            self._on_response(name, peer, update)
         finally:
-            line.asking = False
-        if line.refused:
+            peer.is_probing = False
+        if peer.refusals:
             with self._model.lock:
-                self._review_suspicion(name, line, self._clock.now())
-
-    def _clear(self, name: str, line: PeerState) -> None:
-        line.refused = 0
-        line.suspicion = None
-        self._member.registration.suspected.discard(name)
-
-    def _recognize(self, name: str, line: PeerState, process: str) -> None:
-        """Who answers: the process of before, or one that was started anew."""
-        if line.ended is not None:
-            if line.ended == process:
-                line.backoff_s = min(
-                    max(self._options.backoff_s, 2 * line.backoff_s), MAX_BACKOFF_S
-                )
-                line.retry_after = self._clock.now() + line.backoff_s
-                log.info(
-                    "%s has not ended: its lease was ended needlessly; left alone for %.0f s",
-                    name,
-                    line.backoff_s,
-                )
-            line.ended = None
-        if process != line.process:
-            line.backoff_after_end_s = REST_S
-        line.process = process
+                self._review_suspicion(name, peer, self._clock.now())
 
-    def on_redirected_worker(self, owner: str, machine: str) -> None:
-        """A worker of an owner has reported to us."""
-        line = self.peers.get(owner)
-        if line is not None and line.refused:
-            line.redirected_workers.add(machine)
-
-    def view_of(self, name: str) -> wire.PeerView:
-        """How we see a sibling, for the other one."""
-        line = self.peers.get(name)
-        return wire.PeerView(0 if line is None else line.refused)
+    def _on_refusal(self, name: str, peer: PeerState) -> None:
+        now = self._clock.now()
+        if peer.refusals == 0:
+            peer.first_refused_at = now
+            peer.redirected_workers.clear()
+        peer.refusals += 1
+        # Of one without claims there is nothing to be found out soon.
+        has_claims = lease_of(self._model, name) is not None
+        peer.next_probe_at = now + (self._options.probe_s if has_claims else HOLD_S / 2)
+
+    def _on_response(self, name: str, peer: PeerState, update: wire.SoftStateUpdate) -> None:
+        self._clear_suspicion(name, peer)
+        self._recognize_process(name, peer, update.process)
+        peer.number = update.number
+        peer.next_probe_at = self._clock.now() + (0.0 if update.holds_claims else HOLD_S)
+        self._on_update(name, update)
+
+    def _recognize_process(self, name: str, peer: PeerState, process: str) -> None:
+        """Note which process responds: the one of before, or one that was started anew."""
+        if peer.revoked_process is not None:
+            if peer.revoked_process == process:
+                self._back_off(name, peer)
+            peer.revoked_process = None
+        if process != peer.process:
+            peer.next_rest_s = MIN_REST_S
+        peer.process = process
+
+    def _back_off(self, name: str, peer: PeerState) -> None:
+        """Leave alone for a while a peer whose lease was revoked although it had not ended."""
+        backoff_s = max(self._options.backoff_s, 2 * peer.backoff_s)
+        peer.backoff_s = min(backoff_s, MAX_BACKOFF_S)
+        peer.retry_after = self._clock.now() + peer.backoff_s
+        log.info("lease revocation was needless controller=%s backoff_s=%.0f", name, peer.backoff_s)
 
     # ---- being suspected ----
 
-    def _answer(self) -> None:
-        for name, held in self._model.controllers.items():
-            asked = self._member.node in held.record.suspected
-            if asked and self._answered.get(name) != held.version:
-                self._answered[name] = held.version
-                log.info("%s takes us for ended: our own record says that we are not", name)
+    def _give_signs_of_life(self) -> None:
+        """Answer peers whose records name us, by writing our own once more."""
+        for name, seen in self._model.controllers.items():
+            is_asked = self._member.node in seen.record.suspected
+            if is_asked and self._answered.get(name) != seen.version:
+                self._answered[name] = seen.version
+                log.info("sign of life requested controller=%s", name)
                 self._member.registration.write_again()
 
     # ---- suspecting ----
 
-    def _is_suspected(self, line: PeerState, now: float) -> bool:
-        options = self._options
-        span_s = (options.refusals - 1) * options.probe_s
-        if not line.process:
-            # It has never answered: it may have no standby, and would not answer by its record.
-            return False
-        return line.refused >= options.refusals and now - line.first_at >= 0.9 * span_s
-
-    def _review_suspicion(self, name: str, line: PeerState, now: float) -> None:
-        case, model, member = line.suspicion, self._model, self._member
-        if not self._is_suspected(line, now) or now < max(line.retry_after, line.resting_until):
+    def _review_suspicion(self, name: str, peer: PeerState, now: float) -> None:
+        """Take the next step from a suspicion to the end of the peer's lease."""
+        if not self._is_suspected(peer, now) or now < max(peer.retry_after, peer.rests_until):
             return
-        lease = lease_of(model, name)
-        present = model.controllers.get(name)
-        mark = 0 if present is None else present.version
-        if lease is None or not self._steady():
+        lease = lease_of(self._model, name)
+        if lease is None or not self._is_steady():
             return
-        if case is None:
-            line.suspicion = case = Suspicion(lease, now, mark)
-        if case.lease != lease or (present is not None and case.mark != mark):
-            log.info("%s refuses connections, and lives by its records", name)
-            self._clear(name, line)
-            line.resting_until = now + line.backoff_after_end_s
-            line.backoff_after_end_s = min(2 * line.backoff_after_end_s, MAX_REST_S)
+        if peer.suspicion is None:
+            peer.suspicion = Suspicion(lease, now, self._record_version(name))
+        suspicion = peer.suspicion
+        if self._has_shown_life(name, suspicion, lease):
+            self._drop_suspicion(name, peer, now)
             return
-        line_up = successors(model, member.order, name)
-        if case.ending or member.node not in line_up:
+        if suspicion.is_revoking or not self._is_our_turn(name, suspicion, now):
             return
-        turn_s = self._options.answer_s + TURN_S
-        if now - case.opened_at < turn_s * line_up.index(member.node):
+        if not self._is_confirmed(name, peer, suspicion, now):
             return
-        if len(line.redirected_workers) >= self._options.witnesses:
-            case.confirmed = True
-        if not case.confirmed:
-            if not case.asking and now - case.asked_at >= self._options.probe_s:
-                case.asking, case.asked_at = True, now
-                self._tasks.spawn(self._ask_others(name, line, case))
-            return
-        self._request_sign_of_life(name, case, now)
-        if case.shown_at is not None and now - case.shown_at >= self._options.answer_s:
-            case.ending = True
-            self._tasks.spawn(self._revoke_lease(name, line, case))
+        self._request_sign_of_life(name, suspicion, now)
+        if suspicion.shown_at is not None and now - suspicion.shown_at >= self._options.answer_s:
+            suspicion.is_revoking = True
+            self._tasks.spawn(self._revoke_lease(name, peer, suspicion))
 
-    async def _ask_others(self, name: str, line: PeerState, case: Suspicion) -> None:
-        body = wire.encode(wire.PeerViewRequest(name))
+    def _is_suspected(self, peer: PeerState, now: float) -> bool:
+        options = self._options
+        span_s = (options.refusals - 1) * options.probe_s
+        if not peer.process:
+            # It has never answered: it may have no standby, and would not answer by its record.
+            return False
+        return (
+            peer.refusals >= options.refusals
+            and now - peer.first_refused_at >= MIN_REFUSAL_SPAN_FRACTION * span_s
+        )
+
+    def _record_version(self, name: str) -> int:
+        seen = self._model.controllers.get(name)
+        return 0 if seen is None else seen.version
+
+    def _has_shown_life(self, name: str, suspicion: Suspicion, lease: int) -> bool:
+        """Whether the peer has claims on another lease, or has written its record again."""
+        if suspicion.lease != lease:
+            return True
+        version = self._record_version(name)
+        return version != 0 and version != suspicion.record_version
+
+    def _drop_suspicion(self, name: str, peer: PeerState, now: float) -> None:
+        log.info("suspicion dropped after a sign of life controller=%s", name)
+        self._clear_suspicion(name, peer)
+        peer.rests_until = now + peer.next_rest_s
+        peer.next_rest_s = min(2 * peer.next_rest_s, MAX_REST_S)
+
+    def _clear_suspicion(self, name: str, peer: PeerState) -> None:
+        peer.refusals = 0
+        peer.suspicion = None
+        self._member.registration.suspected.discard(name)
+
+    def _is_our_turn(self, name: str, suspicion: Suspicion, now: float) -> bool:
+        """Whether those before us in line have had their time to act."""
+        in_line = successors(self._model, self._member.order, name)
+        if self._member.node not in in_line:
+            return False
+        turn_s = self._options.answer_s + TURN_S
+        return now - suspicion.opened_at >= turn_s * in_line.index(self._member.node)
+
+    def _is_confirmed(self, name: str, peer: PeerState, suspicion: Suspicion, now: float) -> bool:
+        """Whether workers or another peer confirm the suspicion; asks the others if not."""
+        if len(peer.redirected_workers) >= self._options.witnesses:
+            suspicion.is_confirmed = True
+        if suspicion.is_confirmed:
+            return True
+        if not suspicion.is_asking and now - suspicion.asked_at >= self._options.probe_s:
+            suspicion.is_asking, suspicion.asked_at = True, now
+            self._tasks.spawn(self._ask_others(name, peer, suspicion))
+        return False
+
+    async def _ask_others(self, name: str, peer: PeerState, suspicion: Suspicion) -> None:
         try:
             for other in self.peers:
-                if other == name:
-                    continue
-                try:
-                    reply = await self._ask(other, "/standby/view", body, VIEW_S)
-                    seen = wire.peer_view_decoder.decode(reply)
-                except (NoResponseError, msgspec.DecodeError):
-                    continue
-                if seen.refused >= CONFIRMATIONS_NEEDED:
-                    case.confirmed = True
+                if other != name and await self._sees_refusals(other, name):
+                    suspicion.is_confirmed = True
                     return
         finally:
-            case.asking = False
-            if line.suspicion is case and case.confirmed:
+            suspicion.is_asking = False
+            if peer.suspicion is suspicion and suspicion.is_confirmed:
                 with self._model.lock:
-                    self._review_suspicion(name, line, self._clock.now())
+                    self._review_suspicion(name, peer, self._clock.now())
 
-    def _request_sign_of_life(self, name: str, case: Suspicion, now: float) -> None:
-        """Ask it through the state service."""
+    async def _sees_refusals(self, other: str, name: str) -> bool:
+        """Whether the suspected peer refuses another one as well; False without a response."""
+        body = wire.encode(wire.PeerViewRequest(name))
+        try:
+            response = await self._ask(other, "/standby/view", body, VIEW_DEADLINE_S)
+            view = wire.peer_view_decoder.decode(response)
+        except (NoResponseError, msgspec.DecodeError):
+            return False
+        return view.refused >= CONFIRMATIONS_NEEDED
+
+    def _request_sign_of_life(self, name: str, suspicion: Suspicion, now: float) -> None:
+        """Ask the peer through the state service: our own record names it."""
         own = self._model.controllers.get(self._member.node)
         if own is None:
             return
-        if case.summons_sent == 0:
-            case.summons_sent = own.version
+        if suspicion.request_version == 0:
+            suspicion.request_version = own.version
             self._member.registration.suspected.add(name)
             self._member.registration.write_again()
-        elif case.shown_at is None and own.version > case.summons_sent:
+        elif suspicion.shown_at is None and own.version > suspicion.request_version:
             if name in own.record.suspected:
-                case.shown_at = now
+                suspicion.shown_at = now
             else:
-                # Written by the way, before it was to name it.
-                case.summons_sent = own.version
+                # Written for another reason, before it was to name the peer.
+                suspicion.request_version = own.version
                 self._member.registration.write_again()
 
-    async def _revoke_lease(self, name: str, line: PeerState, case: Suspicion) -> None:
-        took_s = self._clock.now() - line.first_at
+    async def _revoke_lease(self, name: str, peer: PeerState, suspicion: Suspicion) -> None:
+        duration_s = self._clock.now() - peer.first_refused_at
         try:
-            await self._state.revoke(case.lease, END_S)
+            await self._state.revoke(suspicion.lease, REVOKE_DEADLINE_S)
         except LeaseExpiredError:
-            log.debug("%s: its lease had ended", name)
+            log.debug("lease had expired controller=%s lease=%d", name, suspicion.lease)
             return
         except StateUnavailableError as error:
-            log.debug("%s: its lease is not ended: %s", name, error)
-            case.ending = False
+            log.debug(
+                "lease not revoked controller=%s lease=%d error=%s", name, suspicion.lease, error
+            )
+            suspicion.is_revoking = False
             return
-        line.ended = line.process
-        line.ends += 1
-        witnesses = (
-            f"{len(line.redirected_workers)} workers came"
-            if line.redirected_workers
-            else "a sibling agrees"
-        )
+        peer.revoked_process = peer.process
+        peer.revocations += 1
         log.info(
-            "%s has ended: %d connections refused in %.2f s, %s; its lease %d is ended",
+            "lease revoked controller=%s lease=%d refusals=%d duration_s=%.2f workers=%d",
             name,
-            line.refused,
-            took_s,
-            witnesses,
-            case.lease,
+            suspicion.lease,
+            peer.refusals,
+            duration_s,
+            len(peer.redirected_workers),
         )
--- a/badgerseam/standby/soft_state.py
+++ b/badgerseam/standby/soft_state.py
@@ -1,17 +1,18 @@
-"""What an owner knows and the state service does not hold, told to those that stand by for it.
+"""What an owner knows and the state service does not store, sent to the peers that follow it.
 
-Each answer to a request that is held open carries what has changed since the one before, as much as
-fits: a few machines are looked at for each, in turn, so that nothing is queued, and an asker that
-is slow, or has lost an answer, is told anew from the beginning. A hint is never authority: what may
+Each response to a request that is held open carries what has changed since the one before, as much
+as fits: a few machines are scanned for each, in turn, so that nothing is queued, and a subscriber
+that is slow, or has lost a response, is sent everything anew. A hint is never authority: what may
 be done rests on records alone, and docs/standby.md says field by field what a wrong one can do.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from badgerseam.fleet.demand import Offer
-from badgerseam.model.keys import claim_key
+from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 from badgerseam.model.state import ObservedClaim, Shard
@@ -19,123 +20,163 @@
 from badgerseam.wire import standby as wire
 
 MAX_MACHINES_SCANNED = 256
-"""Machines looked at for an answer."""
-RECENT_S = 5.0
-"""One that has not asked for so long does not follow us."""
+"""Machines scanned for one response."""
+MAX_SUBSCRIBER_SILENCE_S = 5.0
+"""A subscriber that has not asked for so long does not follow us."""
 MAX_EVICTIONS = 8
+"""Latest evictions of a machine that are sent."""
 MAX_IMAGES = 16
+"""Images of a machine that are sent."""
+
 BlockedOffers = dict[Offer, tuple[float, float]]
 """Offers without capacity: until when each is left alone, and the pause, in seconds."""
 
-_Mark = tuple[int, str, int, int, float, int]
 
+class _MachineVersion(NamedTuple):
+    """What has to change for a machine to be sent anew."""
+
+    term: int
+    address: str
+    incarnation: int
+    acknowledged_token: int
+    last_eviction_at: float
+    images: int
 
-def _mark(machine: Machine) -> _Mark:
-    """What has to change for a machine to be told anew."""
-    last = machine.evictions[-1] if machine.evictions else 0.0
-    return (
+
+def _version_of(machine: Machine) -> _MachineVersion:
+    return _MachineVersion(
         machine.term,
         machine.address,
         machine.incarnation,
         machine.acknowledged_token,
-        last,
+        machine.evictions[-1] if machine.evictions else 0.0,
         len(machine.images),
     )
 
 
+class _ShardCounts(NamedTuple):
+    """What has to change for a shard without changed machines to be sent anew."""
+
+    term: int
+    finished: int
+    evicted: int
+
+
 @dataclass(slots=True)
 class _Subscriber:
-    """What one of those that stand by has been told."""
+    """What one peer has been sent."""
 
     number: int = 0
+    """Of the latest update."""
     asked_at: float = -1e9
-    rounds: int = 0
-    """How often all machines have been looked at for it."""
-    marks: dict[str, _Mark] = field(default_factory=dict)
-    turn: list[int] = field(default_factory=list)
-    """Machines still to be looked at in this round."""
-    counts: dict[int, tuple[int, int, int]] = field(default_factory=dict)
+    scans: int = 0
+    """How often a scan of all machines was begun for it."""
+    sent_machines: dict[str, _MachineVersion] = field(default_factory=dict)
+    to_scan: list[int] = field(default_factory=list)
+    """Machines still to be scanned in this scan."""
+    sent_counts: dict[int, _ShardCounts] = field(default_factory=dict)
 
 
 class SoftStateSender:
-    """The owner's side."""
+    """The owner's side: what has changed for each subscriber."""
 
     def __init__(
         self, model: Model, options: StandbyOptions, process: str, blocked: BlockedOffers
     ) -> None:
-        """`process`: the name of this process; `blocked`: the leader's, as it stands."""
+        """`process`: the name of this process; `blocked`: the leader's, read for each update."""
         self._model = model
-        self._most_bytes = round(options.hints_kb * 1024)
+        self._max_bytes = round(options.hints_kb * 1024)
         self._process = process
         self._blocked = blocked
-        self._askers: dict[str, _Subscriber] = {}
+        self._subscribers: dict[str, _Subscriber] = {}
 
     def build_update(
-        self, follow: wire.FollowRequest, held: bool, leader_term: int
+        self, follow: wire.FollowRequest, holds_claims: bool, leader_term: int
     ) -> wire.SoftStateUpdate:
-        """What has changed for an asker; called with the model's lock held.
+        """What has changed for a subscriber; called with the model's lock held.
 
-        `held`: as the answer says; `leader_term`: the stamp of our claim on the leadership, or 0.
+        `holds_claims`: as the update says; `leader_term`: the version of our claim on the
+        leadership, or 0.
         """
-        asker = self._askers.get(follow.node)
-        if asker is None or (follow.process, follow.number) != (self._process, asker.number):
-            # It has not got what was told last, or has it of another process.
-            asker = self._askers[follow.node] = _Subscriber(follow.number)
-        asker.number += 1
-        asker.asked_at = self._model.clock.now()
-        shards = self._shards(asker) if self._most_bytes else []
-        now = self._model.clock.now()
-        blocked = [
-            wire.BlockedHint(o.type, o.zone, o.spot, round(until - now, 1), pause)
-            for o, (until, pause) in self._blocked.items()
-            if leader_term and until > now
-        ]
-        return wire.SoftStateUpdate(self._process, asker.number, held, shards, leader_term, blocked)
+        subscriber = self._subscribers.get(follow.node)
+        has_latest = subscriber is not None and (
+            (follow.process, follow.number) == (self._process, subscriber.number)
+        )
+        if subscriber is None or not has_latest:
+            # It has not got the latest update, or has it of another process.
+            subscriber = self._subscribers[follow.node] = _Subscriber(follow.number)
+        subscriber.number += 1
+        subscriber.asked_at = self._model.clock.now()
+        shards = self._changed_shards(subscriber) if self._max_bytes else []
+        blocked = self._blocked_hints() if leader_term else []
+        return wire.SoftStateUpdate(
+            self._process, subscriber.number, holds_claims, shards, leader_term, blocked
+        )
 
     def is_caught_up(self, node: str) -> bool:
-        """Whether a sibling has been told all there is, and still asks."""
-        asker = self._askers.get(node)
-        if asker is None or self._model.clock.now() - asker.asked_at > RECENT_S:
+        """Whether a peer has been sent all there is, and still asks."""
+        subscriber = self._subscribers.get(node)
+        if subscriber is None:
             return False
-        return asker.rounds > 1 or not self._most_bytes or not asker.turn
+        if self._model.clock.now() - subscriber.asked_at > MAX_SUBSCRIBER_SILENCE_S:
+            return False
+        return subscriber.scans > 1 or not self._max_bytes or not subscriber.to_scan
+
+    def _blocked_hints(self) -> list[wire.BlockedHint]:
+        now = self._model.clock.now()
+        return [
+            wire.BlockedHint(offer.type, offer.zone, offer.spot, round(until - now, 1), pause_s)
+            for offer, (until, pause_s) in self._blocked.items()
+            if until > now
+        ]
+
+    def _changed_shards(self, subscriber: _Subscriber) -> list[wire.ShardHint]:
+        if not subscriber.to_scan:
+            self._begin_scan(subscriber)
+        machines = self._changed_machines(subscriber)
+        hints = []
+        for shard in self._model.shards:
+            counts = _ShardCounts(shard.term, shard.finished, shard.evicted)
+            has_changed = subscriber.sent_counts.get(shard.index) != counts
+            if shard.owned and (shard.index in machines or has_changed):
+                subscriber.sent_counts[shard.index] = counts
+                hints.append(wire.ShardHint(shard.index, *counts, machines.get(shard.index, [])))
+        return hints
+
+    def _begin_scan(self, subscriber: _Subscriber) -> None:
+        model = self._model
+        subscriber.scans += 1
+        subscriber.to_scan = [
+            index
+            for shard in model.shards
+            if shard.owned
+            for index in model.shard_machines[shard.index]
+        ]
+        if len(subscriber.sent_machines) > 2 * len(subscriber.to_scan):
+            # Mostly of machines that are gone.
+            subscriber.sent_machines.clear()
 
-    def _shards(self, asker: _Subscriber) -> list[wire.ShardHint]:
+    def _changed_machines(self, subscriber: _Subscriber) -> dict[int, list[wire.MachineHint]]:
+        """The next machines of the scan that have changed, as many as fit, by shard."""
         model = self._model
-        rows: dict[int, list[wire.MachineHint]] = {}
-        if not asker.turn:
-            asker.rounds += 1
-            asker.turn = [
-                index
-                for shard in model.shards
-                if shard.owned
-                for index in model.shard_machines[shard.index]
-            ]
-            if len(asker.marks) > 2 * len(asker.turn):
-                # Mostly of machines that are gone.
-                asker.marks.clear()
-        left = self._most_bytes
-        for _ in range(min(MAX_MACHINES_SCANNED, len(asker.turn))):
-            if left <= 0:
+        changed: dict[int, list[wire.MachineHint]] = {}
+        bytes_left = self._max_bytes
+        for _ in range(min(MAX_MACHINES_SCANNED, len(subscriber.to_scan))):
+            if bytes_left <= 0:
                 break
-            machine = model.machines.get(asker.turn.pop())
+            machine = model.machines.get(subscriber.to_scan.pop())
             if machine is None or not model.shards[machine.shard].owned:
                 continue
-            mark = _mark(machine)
-            if machine.incarnation == 0 or asker.marks.get(machine.name) == mark:
+            version = _version_of(machine)
+            if machine.incarnation == 0 or subscriber.sent_machines.get(machine.name) == version:
                 continue
-            asker.marks[machine.name] = mark
-            row = self._row(machine)
-            rows.setdefault(machine.shard, []).append(row)
-            left -= len(wire.encode(row))
-        told = []
-        for shard in model.shards:
-            counts = (shard.term, shard.finished, shard.evicted)
-            if shard.owned and (shard.index in rows or asker.counts.get(shard.index) != counts):
-                asker.counts[shard.index] = counts
-                told.append(wire.ShardHint(shard.index, *counts, rows.get(shard.index, [])))
-        return told
+            subscriber.sent_machines[machine.name] = version
+            hint = self._machine_hint(machine)
+            changed.setdefault(machine.shard, []).append(hint)
+            bytes_left -= len(wire.encode(hint))
+        return changed
 
-    def _row(self, machine: Machine) -> wire.MachineHint:
+    def _machine_hint(self, machine: Machine) -> wire.MachineHint:
         now = self._model.clock.now()
         return wire.MachineHint(
             machine.name,
@@ -147,100 +188,131 @@
         )
 
 
+@dataclass(frozen=True, slots=True)
+class _ReceivedMachine:
+    """A hint on a machine, and when it came."""
+
+    received_at: float
+    hint: wire.MachineHint
+
+
 @dataclass(slots=True)
-class _Known:
-    """Hints of a share, under one term."""
+class _ReceivedShard:
+    """Hints on a shard, under one term."""
 
     term: int
     finished: int = 0
     evicted: int = 0
-    heard_at: float = -1e9
-    machines: dict[str, tuple[float, wire.MachineHint]] = field(default_factory=dict)
-    """With the time at which each was told."""
+    updated_at: float = -1e9
+    """When its owner responded last."""
+    machines: dict[str, _ReceivedMachine] = field(default_factory=dict)
+
+
+@dataclass(frozen=True, slots=True)
+class _ReceivedOffers:
+    """The leader's offers without capacity, under its term."""
+
+    term: int = 0
+    received_at: float = -1e9
+    hints: list[wire.BlockedHint] = field(default_factory=list)
 
 
 class SoftStateReceiver:
-    """The side of those that stand by."""
+    """The successor's side: what owners have sent, used when their claims are taken over."""
 
     def __init__(
         self, model: Model, options: StandbyOptions, window_s: float, blocked: BlockedOffers
     ) -> None:
         """`window_s`: for how long an eviction counts; `blocked`: our own, filled at a takeover."""
         self._model = model
-        self._age_s = options.hint_age_s
+        self._max_age_s = options.hint_age_s
         self._window_s = window_s
         self._blocked = blocked
-        self._shards: dict[int, _Known] = {}
-        self._offers: tuple[int, float, list[wire.BlockedHint]] = (0, -1e9, [])
-        self._before: dict[str, int] = {}
-        """Of each claim the stamp under which another held it last."""
+        self._shards: dict[int, _ReceivedShard] = {}
+        self._offers = _ReceivedOffers()
+        self._replaced_versions: dict[str, int] = {}
+        """Of each claim, by key, the version under which another controller had it last."""
 
-    def on_update(self, node: str, told: wire.SoftStateUpdate) -> None:
-        """Keep what a sibling has told."""
+    def on_update(self, node: str, update: wire.SoftStateUpdate) -> None:
+        """Store what a peer has sent."""
         now = self._model.clock.now()
-        for hint in told.shards:
-            if not 0 <= hint.shard < len(self._model.shards):
-                continue
-            known = self._shards.get(hint.shard)
-            if known is not None and known.term > hint.term:
-                # Held back on its way, from an owner before.
-                continue
-            if known is None or known.term < hint.term:
-                known = self._shards[hint.shard] = _Known(hint.term)
-            known.finished, known.evicted = hint.finished, hint.evicted
-            known.machines.update({row.name: (now, row) for row in hint.machines})
-        for index, known in self._shards.items():
-            held = self._model.shards[index].claim
+        for hint in update.shards:
+            if 0 <= hint.shard < len(self._model.shards):
+                self._store_shard(hint, now)
+        for index, received in self._shards.items():
+            claim = self._model.shards[index].claim
             # Nothing new is news as well: the owner is there, and nothing has changed.
-            if held and held.record.node == node and held.version == known.term:
-                known.heard_at = now
-        if told.leader_term >= self._offers[0] and told.leader_term:
-            self._offers = (told.leader_term, now, told.blocked)
+            if claim and claim.record.node == node and claim.version == received.term:
+                received.updated_at = now
+        if update.leader_term >= self._offers.term and update.leader_term:
+            self._offers = _ReceivedOffers(update.leader_term, now, update.blocked)
+
+    def _store_shard(self, hint: wire.ShardHint, now: float) -> None:
+        received = self._shards.get(hint.shard)
+        if received is not None and received.term > hint.term:
+            # Delayed on its way, from an owner before.
+            return
+        if received is None or received.term < hint.term:
+            received = self._shards[hint.shard] = _ReceivedShard(hint.term)
+        received.finished, received.evicted = hint.finished, hint.evicted
+        received.machines.update(
+            {machine.name: _ReceivedMachine(now, machine) for machine in hint.machines}
+        )
 
     def observe_claims(self) -> None:
-        """Note under which stamps others hold the claims; called a few times a second."""
+        """Note under which versions others have the claims; called a few times a second."""
         model = self._model
         for shard in model.shards:
             if shard.claim is not None and not shard.owned:
-                self._note(claim_key(shard.index), shard.claim)
+                self._observe_claim(claim_key(shard.index), shard.claim)
         if model.leader_claim is not None:
-            self._note("", model.leader_claim)
+            self._observe_claim(LEADER_KEY, model.leader_claim)
 
-    def _note(self, key: str, held: ObservedClaim) -> None:
-        if held.record.node != self._model.settings.node:
-            self._before[key] = held.version
+    def _observe_claim(self, key: str, claim: ObservedClaim) -> None:
+        if claim.record.node != self._model.settings.node:
+            self._replaced_versions[key] = claim.version
 
     def apply_to(self, shard: Shard | None) -> int:
-        """Warm up for what is about to be acted for: a share, or (None) the leadership. How many
-        hints were used: those of the very claim that ours replaces, and no older than the bound."""
+        """Use the hints for what is about to be acted for: a shard, or (None) the leadership.
+
+        Returns how many were used: those of the very claim that ours replaces, and no older than
+        the bound.
+        """
         now = self._model.clock.now()
-        if shard is None:
-            term, at, offers = self._offers
-            if term != self._before.get("") or now - at > self._age_s:
-                return 0
-            for hint in offers:
-                left = hint.for_s - (now - at)
-                if left > 0:
-                    offer = Offer(hint.type, hint.zone, hint.spot)
-                    self._blocked.setdefault(offer, (now + left, hint.pause_s))
-            return len(offers)
-        known = self._shards.pop(shard.index, None)
-        if known is None or known.term != self._before.get(claim_key(shard.index)):
+        return self._apply_offers(now) if shard is None else self._apply_shard(shard, now)
+
+    def _apply_offers(self, now: float) -> int:
+        offers = self._offers
+        age_s = now - offers.received_at
+        if offers.term != self._replaced_versions.get(LEADER_KEY) or age_s > self._max_age_s:
+            return 0
+        for hint in offers.hints:
+            left_s = hint.for_s - age_s
+            if left_s > 0:
+                offer = Offer(hint.type, hint.zone, hint.spot)
+                self._blocked.setdefault(offer, (now + left_s, hint.pause_s))
+        return len(offers.hints)
+
+    def _apply_shard(self, shard: Shard, now: float) -> int:
+        received = self._shards.pop(shard.index, None)
+        replaced = self._replaced_versions.get(claim_key(shard.index))
+        if received is None or received.term != replaced:
             return 0
-        if now - known.heard_at > self._age_s:
+        if now - received.updated_at > self._max_age_s:
             return 0
-        shard.finished = max(shard.finished, known.finished)
-        shard.evicted = max(shard.evicted, known.evicted)
-        return sum(self._apply_machine(shard, at, row, now) for at, row in known.machines.values())
+        shard.finished = max(shard.finished, received.finished)
+        shard.evicted = max(shard.evicted, received.evicted)
+        return sum(self._apply_machine(shard, entry, now) for entry in received.machines.values())
 
-    def _apply_machine(self, shard: Shard, at: float, row: wire.MachineHint, now: float) -> bool:
-        machine = self._model.machine(row.name)
+    def _apply_machine(self, shard: Shard, received: _ReceivedMachine, now: float) -> bool:
+        hint = received.hint
+        machine = self._model.machine(hint.name)
         if machine is None or machine.shard != shard.index:
             # Gone, or moved since.
             return False
-        machine.address = machine.address or row.address
-        machine.images.update(row.images)
+        machine.address = machine.address or hint.address
+        machine.images.update(hint.images)
         if not machine.evictions:
-            ages = (age + now - at for age in row.evictions)
-            machine.evictions.extend(now - age for age in ages if age <= self._window_s)
+            ages = (age_s + now - received.received_at for age_s in hint.evictions)
+            machine.evictions.extend(now - age_s for age_s in ages if age_s <= self._window_s)
         return True
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -1,9 +1,10 @@
-"""The warm standby of one controller, put together."""
+"""The warm standby of one controller: its takeover gate, failure detector and soft state."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
+from dataclasses import dataclass
 
 import msgspec
 
@@ -23,13 +24,24 @@
 
 log = logging.getLogger("badgerseam.standby")
 
-ENDS_S = 120.0
-"""For so long an end of a home makes it wait for its share at the next one."""
+RESTART_WINDOW_S = 120.0
+"""For so long a restart of a home controller makes it wait for its shard after the next one."""
 MAX_STEADY_S = 60.0
+"""A home controller that has been alive for longer gets its shard back in any case."""
+MAX_RESTARTS = 10
+"""Latest restarts of a peer that are remembered."""
+
+
+@dataclass(frozen=True, slots=True)
+class PeerRestarts:
+    """The lease that a peer's record stands on, and when that has changed."""
+
+    lease: int
+    at: tuple[float, ...] = ()
 
 
 class WarmStandby:
-    """Gate, watch and hints of this controller."""
+    """Puts the parts together, and answers the membership and the peers."""
 
     def __init__(
         self,
@@ -42,7 +54,7 @@
         process: str,
         blocked: BlockedOffers,
     ) -> None:
-        """`process`: a name that no other process has; `blocked`: the leader's offers without
+        """`process`: a name that no other process has; `blocked`: the fleet's offers without
         capacity."""
         self._model = model
         self._member = member
@@ -54,38 +66,42 @@
         self.failure_detector = FailureDetector(
             model, member, state, options, ask, self.gate.is_steady, self.soft_state.on_update
         )
-        self._lives: dict[str, tuple[int, list[float]]] = {}
-        """Of each sibling the lease that its record stands on, and when that has changed."""
+        self._restarts: dict[str, PeerRestarts] = {}
 
-    def _on_takeover(self, shard: Shard | None, held: ObservedClaim) -> None:
-        used = self.soft_state.apply_to(shard)
-        what = "the leadership" if shard is None else f"share {shard.index}"
-        log.info("%s: taken under term %d with %d hints", what, held.version, used)
+    def _on_takeover(self, shard: Shard | None, claim: ObservedClaim) -> None:
+        hints = self.soft_state.apply_to(shard)
+        if shard is None:
+            log.info("leadership taken over term=%d hints=%d", claim.version, hints)
+        else:
+            log.info(
+                "shard taken over shard=%d term=%d hints=%d", shard.index, claim.version, hints
+            )
 
     # ---- what the membership asks ----
 
-    def may_act_on_shard(self, shard: Shard, held: ObservedClaim) -> bool:
-        """See Gate."""
-        return self.gate.may_act_on_shard(shard, held)
+    def may_act_on_shard(self, shard: Shard, claim: ObservedClaim) -> bool:
+        """See `TakeoverGate`."""
+        return self.gate.may_act_on_shard(shard, claim)
 
-    def may_act_as_leader(self, held: ObservedClaim) -> bool:
-        """See Gate."""
-        return self.gate.may_act_as_leader(held)
+    def may_act_as_leader(self, claim: ObservedClaim) -> bool:
+        """See `TakeoverGate`."""
+        return self.gate.may_act_as_leader(claim)
 
     def may_claim(self, key: str) -> bool:
-        """See Gate."""
+        """See `TakeoverGate`."""
         return self.gate.may_claim(key)
 
     def may_return_home(self, home: str, alive_s: float) -> bool:
-        """Whether a share may go back to its home, which has been there for `alive_s`.
+        """Whether a shard may go back to its home, which has been alive for `alive_s`.
 
-        It has to follow us, so that what we know goes with the share, and each end of its in the
-        last two minutes doubles the time that it has to be there for: one that ends again and again
-        costs two changes of hands an end otherwise.
+        It has to follow us, so that what we know goes with the shard, and each restart of its in
+        the last two minutes doubles the time that it has to be alive for: one that ends again and
+        again costs two changes of owner a restart otherwise.
         """
         now = self._clock.now()
-        ends = [at for at in self._lives.get(home, (0, []))[1] if now - at < ENDS_S]
-        steady_s = STEADY_S * 2.0 ** max(0, len(ends) - 1)
+        restarts = self._restarts.get(home, PeerRestarts(0))
+        recent = [at for at in restarts.at if now - at < RESTART_WINDOW_S]
+        steady_s = STEADY_S * 2.0 ** max(0, len(recent) - 1)
         if alive_s > MAX_STEADY_S:
             # It may have no standby, and never ask.
             return True
@@ -94,7 +110,7 @@
     # ---- driving ----
 
     async def keep(self) -> None:
-        """Watch the siblings for ever."""
+        """Watch the peers, until cancelled."""
         while True:
             await asyncio.sleep(self._step_s)
             self.step()
@@ -107,21 +123,27 @@
                 return
             self.gate.review()
             self.soft_state.observe_claims()
-            for name, held in model.controllers.items():
-                lease, changes = self._lives.get(name, (held.record.lease, []))
-                if lease != held.record.lease:
-                    changes = [*changes[-9:], self._clock.now()]
-                self._lives[name] = held.record.lease, changes
+            self._observe_restarts()
             self.failure_detector.step()
 
-    # ---- siblings' requests ----
+    def _observe_restarts(self) -> None:
+        for name, seen in self._model.controllers.items():
+            lease = seen.record.lease
+            restarts = self._restarts.get(name)
+            if restarts is None:
+                self._restarts[name] = PeerRestarts(lease)
+            elif restarts.lease != lease:
+                latest = (*restarts.at[1 - MAX_RESTARTS :], self._clock.now())
+                self._restarts[name] = PeerRestarts(lease, latest)
+
+    # ---- peers' requests ----
 
     async def handle(self, path: str, body: bytes) -> Reply:
-        """A sibling's request, to /standby/follow or /standby/view."""
+        """Answer a peer's request, to /standby/follow or /standby/view."""
         try:
             if path == "/standby/view":
-                view = wire.peer_view_request_decoder.decode(body)
-                return Reply(200, wire.encode(self.failure_detector.view_of(view.node)))
+                request = wire.peer_view_request_decoder.decode(body)
+                return Reply(200, wire.encode(self.failure_detector.view_of(request.node)))
             if path == "/standby/follow":
                 return await self._hold_request(wire.follow_request_decoder.decode(body))
         except msgspec.DecodeError:
@@ -129,16 +151,17 @@
         return error_reply(404, "no such path")
 
     async def _hold_request(self, follow: wire.FollowRequest) -> Reply:
-        # One that leaves may end only when no request of it is open.
-        held = not self._member.is_unavailable(UnavailableReason.DRAINING)
-        if held:
+        # A controller that is drained may end only when no request is open at it.
+        is_held_open = not self._member.is_unavailable(UnavailableReason.DRAINING)
+        if is_held_open:
             await asyncio.sleep(HOLD_S)
-        return Reply(200, wire.encode(self.build_update(follow, held)))
+        return Reply(200, wire.encode(self.build_update(follow, is_held_open)))
 
-    def build_update(self, follow: wire.FollowRequest, held: bool) -> wire.SoftStateUpdate:
-        """What a sibling is told."""
+    def build_update(self, follow: wire.FollowRequest, is_held_open: bool) -> wire.SoftStateUpdate:
+        """The soft state that has changed for a peer; `is_held_open`: whether its request was held
+        open before."""
         with self._model.lock:
-            leader = self._model.leader_claim
-            leads = leader is not None and leader.record.node == self._member.node
-            term = leader.version if leader is not None and leads else 0
-            return self.soft_state_sender.build_update(follow, held, term)
+            claim = self._model.leader_claim
+            is_leader = claim is not None and claim.record.node == self._member.node
+            term = claim.version if claim is not None and is_leader else 0
+            return self.soft_state_sender.build_update(follow, is_held_open, term)
