--- a/badgerseam/background.py
+++ b/badgerseam/background.py
@@ -10,14 +10,17 @@
 
 
 class BackgroundTasks:
-    """Keeps a reference to each task until it is done: the event loop itself holds only a weak one,
-    so that a task that nobody awaits could be collected as garbage while it runs."""
+    """Keeps a reference to each task until it is done.
+
+    The event loop itself has only a weak one, so that a task that nobody awaits could be collected
+    as garbage while it runs.
+    """
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def __len__(self) -> int:
-        """How many tasks are not done."""
+        """The number of tasks that are not done."""
         return len(self._tasks)
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
--- a/badgerseam/clock.py
+++ b/badgerseam/clock.py
@@ -1,4 +1,4 @@
-"""Time and chance, injected so that tests can script them."""
+"""Clocks and random numbers, injected so that tests can script them."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class Clock:
-    """The process's clocks; tests replace it."""
+    """The clocks of the process; tests replace it."""
 
     def now(self) -> float:
-        """Steady seconds."""
+        """Seconds of the steady clock, for durations and deadlines."""
         return time.monotonic()
 
     def wall(self) -> float:
-        """Seconds since the epoch, within the settings' bound."""
+        """Seconds since the epoch, off by no more than the settings' `time_bound_ms`."""
         return time.time()
 
 
--- a/badgerseam/cluster/peers.py
+++ b/badgerseam/cluster/peers.py
@@ -22,21 +22,23 @@
 
 log = logging.getLogger("badgerseam.cluster")
 
-STALE_S = 3.0
+MAX_STATE_AGE_S = 3.0
 """Without an answer of the state service for so long, something is wrong."""
-HEALTH_S = 1.0
-UNREACHABLE_AFTER = 3
-"""Requests without an answer after which a sibling counts as out of reach."""
-ISOLATED_AFTER = 4
+HEALTH_INTERVAL_S = 1.0
+"""Between rounds of health checks, and the deadline of each."""
+MAX_UNANSWERED = 3
+"""Requests without an answer after which a peer counts as unreachable."""
+MAX_SILENT_ROUNDS = 4
 """Rounds of asking, a second each, in which nobody has answered anything, after which we are cut
 off. Counted, like what is missed, and above what a request to the state service may wait for."""
-TAKE_S = 1.5
-"""What a sibling gets to take a claim over: a write or two."""
-LEADER_S = 0.5
+TAKEOVER_DEADLINE_S = 1.5
+"""What a peer gets to take a claim over: a write or two."""
+TRANSFER_DEADLINE_S = 3.0
+LEADER_DEADLINE_S = 0.5
 """What the leader gets to say what it knows of the cloud: a user waits for the answer."""
 
 LocalAnswers = Callable[[int, list[str]], Awaitable[list[explain.Why] | None]]
-"""Answers about jobs of a share; None if this controller does not plan for it."""
+"""Answers about jobs of a shard; None if this controller does not plan for it."""
 
 
 class Peers:
@@ -46,87 +48,78 @@
         self,
         model: Model,
         http: HttpClient,
-        returns: MachineTransfer,
+        machine_transfer: MachineTransfer,
         state: StateClient,
-        allotment: WriteRateAllocator,
+        write_rate: WriteRateAllocator,
     ) -> None:
         settings = model.settings
         self._state = state
-        self._allotment = allotment
-        self._local: LocalAnswers | None = None
-        self._view: Callable[[], CloudView | None] = lambda: None
-        self._take: Callable[[str, int], Awaitable[bool]] | None = None
+        self._write_rate = write_rate
+        self._explain_shard: LocalAnswers | None = None
+        self._cloud_view: Callable[[], CloudView | None] = lambda: None
+        self._take_over: Callable[[str, int], Awaitable[bool]] | None = None
         self.standby: Callable[[str, bytes], Awaitable[Reply]] | None = None
-        """Answers siblings that stand by for us, where that is switched on."""
-        self._served: str | None = None
-        self._served_at = -1e9
+        """Answers the peers' standby requests, where that is switched on."""
+        self._served_peer: str | None = None
+        self._served_peer_at = -1e9
         self._model = model
         self._http = http
-        self._returns = returns
+        self._machine_transfer = machine_transfer
         self._node = settings.node
         self._unanswered = {sibling.node: 0 for sibling in settings.siblings}
         """Requests without an answer, less those answered since."""
-        self._rounds = 0
-        """In a row, without a word of the state service or of a sibling."""
+        self._silent_rounds = 0
+        """In a row, without an answer of the state service or of a peer."""
         self._addresses = {sibling.node: sibling.peer_addr for sibling in settings.siblings}
 
     async def handle(self, method: str, path: str, body: bytes) -> Reply:
-        """A sibling's request."""
-        if path == "/health" and method == "GET":
-            need = min(self._allotment.demand, 1.0 + len(self._addresses))
-            return Reply(200, wire.encode(wire.Health(self._state_age_s(), round(need, 3))))
-        if path == "/cloud" and method == "GET":
-            view = self._view()
-            return (
-                error_reply(421, "not the leader")
-                if view is None
-                else Reply(200, explain.encode(view))
-            )
-        if path == "/why" and method == "POST":
-            return await self._why(body)
-        if path == "/take" and method == "POST":
-            return await self._take_over(body)
-        if path.startswith("/standby/") and method == "POST" and self.standby is not None:
-            return await self.standby(path, body)
-        if path != "/give" or method != "POST":
+        """Answer a peer's request."""
+        if method == "GET":
+            return self._answer_get(path)
+        if method != "POST":
             return error_reply(404, "no such path")
+        if path == "/why":
+            return await self._answer_explain(body)
+        if path == "/take":
+            return await self._answer_takeover(body)
+        if path == "/give":
+            return await self._answer_transfer(body)
+        if path.startswith("/standby/") and self.standby is not None:
+            return await self.standby(path, body)
+        return error_reply(404, "no such path")
+
+    def _answer_get(self, path: str) -> Reply:
+        if path == "/health":
+            demand = min(self._write_rate.demand, 1.0 + len(self._addresses))
+            return Reply(200, wire.encode(wire.Health(self._state_age_s(), round(demand, 3))))
+        if path == "/cloud":
+            view = self._cloud_view()
+            if view is None:
+                return error_reply(421, "not the leader")
+            return Reply(200, explain.encode(view))
+        return error_reply(404, "no such path")
+
+    # ---- takeovers ----
+
+    def accept_takeovers_with(self, take_over: Callable[[str, int], Awaitable[bool]]) -> None:
+        """Take claims over that peers hand over: `take_over` gets the key and version, and tells
+        whether that is durable."""
+        self._take_over = take_over
+
+    async def _answer_takeover(self, body: bytes) -> Reply:
         try:
-            give = wire.transfer_request_decoder.decode(body)
-        except msgspec.DecodeError:
-            return error_reply(400, "not a request to give")
-        if not -1 <= give.shard < len(self._model.shards):
-            return error_reply(400, "no such share")
-        with self._model.lock:
-            found = [self._model.machine(name) for name in give.machines]
-        by_shard: dict[int, list[Machine]] = {}
-        for machine in found:
-            if machine is not None:
-                by_shard.setdefault(machine.shard, []).append(machine)
-        done: set[str] = set()
-        for machines in by_shard.values():
-            done |= await self._returns.transfer(machines, give.shard, give.evacuate)
-        return Reply(200, wire.encode(wire.TransferResponse(sorted(done))))
-
-    # ---- a sibling that leaves ----
-
-    def accept_takeovers_with(self, take: Callable[[str, int], Awaitable[bool]]) -> None:
-        """Take claims over that siblings want to pass on, from now on."""
-        self._take = take
-
-    async def _take_over(self, body: bytes) -> Reply:
-        try:
-            asked = rollout.takeover_decoder.decode(body)
+            request = rollout.takeover_decoder.decode(body)
         except msgspec.DecodeError:
             return error_reply(400, "not a request to take")
-        known = {LEADER_KEY, *(claim_key(shard.index) for shard in self._model.shards)}
-        if asked.key not in known or asked.version < 1:
+        claim_keys = {LEADER_KEY, *(claim_key(shard.index) for shard in self._model.shards)}
+        if request.key not in claim_keys or request.version < 1:
             return error_reply(400, "no such claim")
-        if self._take is None or not await self._take(asked.key, asked.version):
+        if self._take_over is None or not await self._take_over(request.key, request.version):
             return error_reply(409, "not taken")
         return Reply(200)
 
     async def request_takeover(self, node: str, key: str, version: int) -> bool | None:
-        """Have a sibling take a claim of ours over; whether it says that it has, None if it cannot
+        """Have a peer take a claim of ours over; whether it says that it has, None if it cannot
         be asked (it may be a program from before such requests). No answer is no proof of the
         contrary: the replica tells."""
         address = self._addresses.get(node)
@@ -134,9 +127,9 @@
             return None
         body = rollout.encode(rollout.TakeoverRequest(key, version))
         try:
-            response = await self._http.request(address, "POST", "/take", body, TAKE_S)
+            response = await self._http.request(address, "POST", "/take", body, TAKEOVER_DEADLINE_S)
         except NoResponseError as error:
-            log.debug("%s: no answer to a request to take %s: %s", node, key, error)
+            log.debug("takeover not answered controller=%s key=%s error=%s", node, key, error)
             return None
         return {200: True, 409: False}.get(response.status)
 
@@ -145,12 +138,12 @@
     def answer_questions_with(
         self, local: LocalAnswers, view: Callable[[], CloudView | None]
     ) -> None:
-        """Answer siblings' questions from now on."""
-        self._local = local
-        self._view = view
+        """Answer peers' questions with these from now on."""
+        self._explain_shard = local
+        self._cloud_view = view
 
-    async def _why(self, body: bytes) -> Reply:
-        if self._local is None:
+    async def _answer_explain(self, body: bytes) -> Reply:
+        if self._explain_shard is None:
             return error_reply(404, "explanations are switched off")
         try:
             question = explain.question_decoder.decode(body)
@@ -158,7 +151,7 @@
             return error_reply(400, "not a question")
         if not 0 <= question.shard < len(self._model.shards):
             return error_reply(400, "no such share")
-        answers = await self._local(question.shard, question.jobs)
+        answers = await self._explain_shard(question.shard, question.jobs)
         if answers is None:
             return error_reply(421, "not the owner")
         return Reply(200, explain.encode(explain.Answers(answers)))
@@ -168,28 +161,30 @@
     ) -> list[explain.Why] | None:
         """Another controller's answers; None if there are none in time."""
         body = explain.encode(question)
-        reply = await self._ask(node, "POST", "/why", body, deadline_s)
+        response = await self._request(node, "POST", "/why", body, deadline_s)
         try:
-            return None if reply is None else explain.answers_decoder.decode(reply).answers
+            return None if response is None else explain.answers_decoder.decode(response).answers
         except msgspec.DecodeError as error:
             # Another version, while controllers are being replaced one by one.
-            log.debug("%s: not an answer: %s", node, error)
+            log.debug("response not decoded controller=%s path=/why error=%s", node, error)
             return None
 
     async def ask_leader(self) -> CloudView | None:
         """The leader's view of the cloud; None if it cannot be asked."""
-        view = self._view()
+        view = self._cloud_view()
         leader = self._model.leader_claim
         if view is not None or leader is None or leader.record.node == self._node:
             return view
-        reply = await self._ask(leader.record.node, "GET", "/cloud", None, LEADER_S)
+        response = await self._request(leader.record.node, "GET", "/cloud", None, LEADER_DEADLINE_S)
         try:
-            return None if reply is None else explain.cloud_view_decoder.decode(reply)
+            return None if response is None else explain.cloud_view_decoder.decode(response)
         except msgspec.DecodeError as error:
-            log.debug("%s: not a view of the cloud: %s", leader.record.node, error)
+            log.debug(
+                "response not decoded controller=%s path=/cloud error=%s", leader.record.node, error
+            )
             return None
 
-    async def _ask(
+    async def _request(
         self, node: str, method: str, path: str, body: bytes | None, deadline_s: float
     ) -> bytes | None:
         address = self._addresses.get(node)
@@ -198,12 +193,12 @@
         try:
             response = await self._http.request(address, method, path, body, deadline_s)
         except NoResponseError as error:
-            log.debug("%s: no answer to %s: %s", node, path, error)
+            log.debug("request not answered controller=%s path=%s error=%s", node, path, error)
             return None
         return response.body if response.status == 200 else None
 
     async def ask_standby(self, node: str, path: str, body: bytes, deadline_s: float) -> bytes:
-        """The body of a sibling's answer; NoResponse, and of which kind, if there is none."""
+        """The body of a peer's response; NoResponseError, and of which kind, if there is none."""
         response = await self._http.request(self._addresses[node], "POST", path, body, deadline_s)
         if response.status != 200:
             raise NoResponseError(f"{node}{path}: {response.status}")
@@ -215,36 +210,39 @@
         return self._model.clock.now() - self._state.confirmed_at
 
     def peer_with_state_service(self) -> str | None:
-        """The sibling that the state service serves while it does not serve us, if there is one."""
-        recent = self._model.clock.now() - self._served_at < 3 * HEALTH_S
-        return self._served if recent and self._state_age_s() > STALE_S else None
+        """The peer that the state service serves while it does not serve us, if there is one."""
+        recent = self._model.clock.now() - self._served_peer_at < 3 * HEALTH_INTERVAL_S
+        return self._served_peer if recent and self._state_age_s() > MAX_STATE_AGE_S else None
 
     def is_unreachable(self, node: str) -> bool:
-        """Whether a sibling has not answered us for a while; one that answers again has to do so
+        """Whether a peer has not answered us for a while; one that answers again has to do so
         as often. Counted, not timed: a process that stood still has asked nobody."""
-        return self._unanswered.get(node, 0) >= UNREACHABLE_AFTER
+        return self._unanswered.get(node, 0) >= MAX_UNANSWERED
 
     @property
     def is_isolated(self) -> bool:
-        """Whether neither the state service nor a sibling has answered us for a while, not even to
+        """Whether neither the state service nor a peer has answered us for a while, not even to
         refuse: in an outage the state service answers 503, so that this lies with us. It does not
-        tell whether anybody acts for our shares."""
-        return self._rounds >= ISOLATED_AFTER
+        tell whether anybody acts for our shards."""
+        return self._silent_rounds >= MAX_SILENT_ROUNDS
 
     async def keep_health(self) -> None:
-        """Ask the siblings whether they are there, and whether the state service answers them."""
+        """Ask the peers whether they are there, and whether the state service answers them, until
+        cancelled."""
         while True:
             responses = self._state.responses
-            asked = [self._ask_health(*item) for item in self._addresses.items()]
-            answers = await asyncio.gather(*asked, _unanswered_for(HEALTH_S))
-            heard = any(answers) or self._state.responses > responses
-            # A controller without siblings has nobody who would serve its users instead.
-            self._rounds = 0 if heard or not self._addresses else self._rounds + 1
+            checks = [self._check_health(*item) for item in self._addresses.items()]
+            answers = await asyncio.gather(*checks, _unanswered_for(HEALTH_INTERVAL_S))
+            is_answered = any(answers) or self._state.responses > responses
+            # A controller without peers has nobody who would serve its users instead.
+            self._silent_rounds = (
+                0 if is_answered or not self._addresses else self._silent_rounds + 1
+            )
 
-    async def _ask_health(self, node: str, address: str) -> bool:
+    async def _check_health(self, node: str, address: str) -> bool:
         """Whether it has answered."""
         try:
-            response = await self._http.request(address, "GET", "/health", None, HEALTH_S)
+            response = await self._http.request(address, "GET", "/health", None, HEALTH_INTERVAL_S)
             health = wire.health_decoder.decode(response.body)
         except ConnectionRefusedByPeerError:
             # Its process is gone for a moment, or a filter lies between the two of us: workers can
@@ -252,34 +250,56 @@
             self._unanswered[node] = max(self._unanswered[node] - 1, 0)
             return False
         except (NoResponseError, msgspec.DecodeError):
-            self._unanswered[node] = min(self._unanswered[node] + 1, 2 * UNREACHABLE_AFTER)
+            self._unanswered[node] = min(self._unanswered[node] + 1, 2 * MAX_UNANSWERED)
             return False
         self._unanswered[node] = max(self._unanswered[node] - 1, 0)
-        self._allotment.on_peer_demand(node, health.write_demand)
-        if response.status == 200 and health.state_age_s < STALE_S / 2:
-            self._served, self._served_at = node, self._model.clock.now()
+        self._write_rate.on_peer_demand(node, health.write_demand)
+        if response.status == 200 and health.state_age_s < MAX_STATE_AGE_S / 2:
+            self._served_peer, self._served_peer_at = node, self._model.clock.now()
         return True
 
+    # ---- transfers of machines ----
+
+    async def _answer_transfer(self, body: bytes) -> Reply:
+        try:
+            request = wire.transfer_request_decoder.decode(body)
+        except msgspec.DecodeError:
+            return error_reply(400, "not a request to give")
+        if not -1 <= request.shard < len(self._model.shards):
+            return error_reply(400, "no such share")
+        with self._model.lock:
+            found = [self._model.machine(name) for name in request.machines]
+        by_shard: dict[int, list[Machine]] = {}
+        for machine in found:
+            if machine is not None:
+                by_shard.setdefault(machine.shard, []).append(machine)
+        transferred: set[str] = set()
+        for machines in by_shard.values():
+            transferred |= await self._machine_transfer.transfer(
+                machines, request.shard, request.evacuate
+            )
+        return Reply(200, wire.encode(wire.TransferResponse(sorted(transferred))))
+
     async def transfer_machines(
-        self, machines: list[Machine], shard: int, vacate: bool = False
+        self, machines: list[Machine], shard: int, evacuate: bool = False
     ) -> set[str]:
-        """Have the owner of machines, all of one share, pass them on."""
-        held = self._model.shards[machines[0].shard].claim
-        if held is None:
+        """Have the owner of machines, all of one shard, transfer them; the names of those that it
+        has transferred."""
+        claim = self._model.shards[machines[0].shard].claim
+        if claim is None:
             return set()
-        if held.record.node == self._node:
-            return await self._returns.transfer(machines, shard, vacate)
-        address = self._addresses.get(held.record.node)
-        if address is None:
+        owner = claim.record.node
+        if owner == self._node:
+            return await self._machine_transfer.transfer(machines, shard, evacuate)
+        names = [machine.name for machine in machines]
+        body = wire.encode(wire.TransferRequest(names, shard, evacuate))
+        response = await self._request(owner, "POST", "/give", body, TRANSFER_DEADLINE_S)
+        if response is None:
             return set()
-        give = wire.TransferRequest([machine.name for machine in machines], shard, vacate)
         try:
-            response = await self._http.request(address, "POST", "/give", wire.encode(give), 3.0)
-            if response.status != 200:
-                return set()
-            return set(wire.transfer_response_decoder.decode(response.body).transferred)
-        except (NoResponseError, msgspec.DecodeError) as error:
-            log.debug("%s: no answer to a request to give: %s", held.record.node, error)
+            return set(wire.transfer_response_decoder.decode(response).transferred)
+        except msgspec.DecodeError as error:
+            log.debug("response not decoded controller=%s path=/give error=%s", owner, error)
             return set()
 
 
--- a/badgerseam/logs.py
+++ b/badgerseam/logs.py
@@ -1,4 +1,4 @@
-"""Logging to standard error in the amount that LOG_LEVEL sets."""
+"""Logging to standard error, at the level that LOG_LEVEL sets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def configure(level: str) -> None:
-    """Set up logging; an unknown level raises ValueError."""
+    """Set up logging; ValueError for a level that is none of LEVELS."""
     if level not in LEVELS:
         raise ValueError(f"LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}")
     logging.basicConfig(
