--- a/badgerseam/cli/lab.py
+++ b/badgerseam/cli/lab.py
@@ -252,7 +252,7 @@
     from badgerseam.clock import Clock
     from badgerseam.lab.experiment import load_experiment, play
     from badgerseam.lab.lab import Lab
-    from badgerseam.lab.report import write_report
+    from badgerseam.lab.report_files import write_report
     from badgerseam.lab.site import SiteSpec
 
     logs.configure("error")
@@ -297,7 +297,7 @@
 def _print_report(report: Report, console: Any) -> None:
     from rich.table import Table
 
-    from badgerseam.lab.report import largest_cells
+    from badgerseam.lab.report_files import largest_cells
 
     table = Table(title="simulated machines, real controllers")
     for column in ("class", "jobs", "ended", "starts", "first start 50/90/99/100 %", "in time"):
--- a/badgerseam/lab/experiment.py
+++ b/badgerseam/lab/experiment.py
@@ -16,8 +16,9 @@
 from badgerseam.lab.fault_injector import FaultInjector
 from badgerseam.lab.lab import Lab, LabError
 from badgerseam.lab.reconcile import compare_with_accounts
-from badgerseam.lab.report import Report, Sample, summarize
+from badgerseam.lab.report import Report, Sample
 from badgerseam.lab.site import SiteSpec, check_site
+from badgerseam.lab.summary import summarize
 from badgerseam.settings import SettingsError
 
 SAMPLE_S = 1.0
