--- a/badgerseam/cli/lab.py
+++ b/badgerseam/cli/lab.py
@@ -5,6 +5,7 @@
 import argparse
 import asyncio
 import contextlib
+import importlib
 import json
 import os
 import signal
@@ -98,9 +99,12 @@
 def run(options: argparse.Namespace) -> int:
     """Carry out an order; the exit code."""
     try:
-        from badgerseam.lab import lab as lab_module
+        # Tells whether the extra's libraries are there.
+        importlib.import_module("badgerseam.lab.lab")
     except ModuleNotFoundError as error:
         return fail(f"{error.name}: {MISSING}", EXIT_USAGE)
+    from badgerseam.lab.errors import LabError
+
     try:
         if options.order == "schema":
             return _schema(options)
@@ -113,7 +117,7 @@
         if options.order == "run":
             return asyncio.run(_experiment(options))
         return asyncio.run(_order(options))
-    except lab_module.LabError as error:
+    except LabError as error:
         return fail(str(error), EXIT_FAILED)
 
 
@@ -159,7 +163,9 @@
     from badgerseam.clock import Clock
     from badgerseam.lab.control_endpoint import ControlEndpoint
     from badgerseam.lab.fault_injector import FaultInjector
-    from badgerseam.lab.lab import Lab, free_ports, read_running_lab
+    from badgerseam.lab.lab import Lab
+    from badgerseam.lab.lab_directory import read_running_lab
+    from badgerseam.lab.ports import free_ports
     from badgerseam.lab.site import load_site
 
     logs.configure("error")
@@ -379,7 +385,8 @@
 async def _order(options: argparse.Namespace) -> int:
     """Send an order to the running lab."""
     from badgerseam.http.client import HttpClient, NoResponseError
-    from badgerseam.lab.lab import LabError, read_running_lab
+    from badgerseam.lab.errors import LabError
+    from badgerseam.lab.lab_directory import read_running_lab
 
     address = read_running_lab(options.dir).get("control")
     if not isinstance(address, str):
--- a/badgerseam/lab/active_faults.py
+++ b/badgerseam/lab/active_faults.py
@@ -7,8 +7,9 @@
 from typing import TypeAlias
 
 from badgerseam.background import BackgroundTasks
+from badgerseam.lab.errors import LabError
 from badgerseam.lab.fault import HARMLESS_KINDS, Fault
-from badgerseam.lab.lab import Lab, LabError
+from badgerseam.lab.lab import Lab
 
 POLL_S = 0.05
 
--- a/badgerseam/lab/controller_faults.py
+++ b/badgerseam/lab/controller_faults.py
@@ -8,8 +8,9 @@
 from badgerseam.lab.active_faults import ActiveFaults, FaultHandler
 from badgerseam.lab.checkouts import Checkout
 from badgerseam.lab.controllers import ControllerProcess
+from badgerseam.lab.errors import LabError
 from badgerseam.lab.fault import Fault
-from badgerseam.lab.lab import Lab, LabError
+from badgerseam.lab.lab import Lab
 from badgerseam.lab.lab_rollout import LabRolloutTarget
 from badgerseam.rollout.rolling_update import RollingUpdate, RolloutStoppedError
 
--- a/badgerseam/lab/cost_measurements.py
+++ b/badgerseam/lab/cost_measurements.py
@@ -15,8 +15,8 @@
 from badgerseam.cluster.membership import Membership
 from badgerseam.explain.supply import LeaderCloudView
 from badgerseam.explain.surveys import Surveys
-from badgerseam.lab.lab import free_ports
 from badgerseam.lab.load import make_job
+from badgerseam.lab.ports import free_ports
 from badgerseam.lab.site import JobClass, Ports, SiteSpec, controller_settings
 from badgerseam.model.job import Job, Stage
 from badgerseam.model.keys import claim_key, group_key, job_key
--- a/badgerseam/lab/demo.py
+++ b/badgerseam/lab/demo.py
@@ -8,9 +8,10 @@
 
 from badgerseam.cli.render import why_text
 from badgerseam.http.client import HttpClient, NoResponseError, Response
+from badgerseam.lab.errors import LabError
 from badgerseam.lab.fault import Fault
 from badgerseam.lab.fault_injector import FaultInjector
-from badgerseam.lab.lab import Lab, LabError
+from badgerseam.lab.lab import Lab
 from badgerseam.wire import explain
 
 PATIENCE_S = 60.0
--- a/badgerseam/lab/experiment.py
+++ b/badgerseam/lab/experiment.py
@@ -11,10 +11,11 @@
 from msgspec import Meta, Struct, field
 
 from badgerseam.cli.client import UnreachableError
+from badgerseam.lab.errors import LabError
 from badgerseam.lab.explain_load import ExplainLoad
 from badgerseam.lab.fault import Fault
 from badgerseam.lab.fault_injector import FaultInjector
-from badgerseam.lab.lab import Lab, LabError
+from badgerseam.lab.lab import Lab
 from badgerseam.lab.reconcile import compare_with_accounts
 from badgerseam.lab.report import Report, Sample
 from badgerseam.lab.site import SiteSpec, check_site
--- a/badgerseam/lab/link_faults.py
+++ b/badgerseam/lab/link_faults.py
@@ -5,8 +5,9 @@
 from typing import NamedTuple, cast
 
 from badgerseam.lab.active_faults import ActiveFaults, FaultHandler, fraction_of
+from badgerseam.lab.errors import LabError
 from badgerseam.lab.fault import LINK_FAULT_KINDS, Fault
-from badgerseam.lab.lab import Lab, LabError
+from badgerseam.lab.lab import Lab
 from badgerseam.lab.links import LinkFault
 from badgerseam.lab.machines import ANSWERS, CONTROLLERS, zone_end
 
--- a/badgerseam/lab/machine_faults.py
+++ b/badgerseam/lab/machine_faults.py
@@ -5,8 +5,9 @@
 from functools import partial
 
 from badgerseam.lab.active_faults import ActiveFaults, FaultHandler
+from badgerseam.lab.errors import LabError
 from badgerseam.lab.fault import Fault
-from badgerseam.lab.lab import Lab, LabError
+from badgerseam.lab.lab import Lab
 from badgerseam.lab.worker import WorkerCore
 
 DEFAULT_NOTICE_S = 10.0
--- a/badgerseam/lab/message_faults.py
+++ b/badgerseam/lab/message_faults.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from badgerseam.lab.active_faults import ActiveFaults, FaultHandler, fraction_of
+from badgerseam.lab.errors import LabError
 from badgerseam.lab.fault import Fault
-from badgerseam.lab.lab import Lab, LabError
+from badgerseam.lab.lab import Lab
 
 NEXT_LEADER = "next-leader"
 """To whom copies of heartbeats are sent that are kept back until then."""
--- a/tests/lab/test_fault_injection_on_site.py
+++ b/tests/lab/test_fault_injection_on_site.py
@@ -8,7 +8,7 @@
 
 from badgerseam.http.client import NoResponseError
 from badgerseam.lab.adversarial_clients import INVALID_REQUESTS, InvalidRequest
-from badgerseam.lab.lab import LabError
+from badgerseam.lab.errors import LabError
 from badgerseam.lab.machines import MachineProcess
 from badgerseam.lab.read_after_write import ROUNDS
 from badgerseam.model.job import Job
--- a/tests/lab/test_fault_injector.py
+++ b/tests/lab/test_fault_injector.py
@@ -18,15 +18,17 @@
 from badgerseam.lab import machines as machines_module
 from badgerseam.lab.checkouts import Checkout
 from badgerseam.lab.controllers import ControllerProcess
+from badgerseam.lab.errors import LabError
 from badgerseam.lab.fault import FAULT_KINDS, Fault
 from badgerseam.lab.fault_injector import FaultInjector
 from badgerseam.lab.history import History
-from badgerseam.lab.lab import Lab, LabError, free_ports
+from badgerseam.lab.lab import Lab
 from badgerseam.lab.late_heartbeats import LateHeartbeats
 from badgerseam.lab.links import Links, Relay
 from badgerseam.lab.load import UserLoad
 from badgerseam.lab.load_balancer import LoadBalancer
 from badgerseam.lab.machines import MachineProcess
+from badgerseam.lab.ports import free_ports
 from badgerseam.lab.site import JobClass, SiteSpec
 from badgerseam.lab.worker import Identity, Results, WorkerCore
 from badgerseam.model.resources import Resources
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -18,11 +18,11 @@
 from badgerseam.clock import Clock
 from badgerseam.http.client import HttpClient
 from badgerseam.lab.cloud import CapacityExhaustedError, CloudCore, RentedMachine
-from badgerseam.lab.errors import RateLimitedError
+from badgerseam.lab.errors import LabError, RateLimitedError
 from badgerseam.lab.experiment import load_experiment
 from badgerseam.lab.fault import Fault
 from badgerseam.lab.fault_injector import FaultInjector
-from badgerseam.lab.lab import Lab, LabError
+from badgerseam.lab.lab import Lab
 from badgerseam.lab.site import SiteSpec, load_site
 from badgerseam.lab.state import KEPT, MalformedRequestError, StateCore
 from badgerseam.lab.worker import Description, Identity, Results, WorkerCore
--- a/tests/model/test_quota_random.py
+++ b/tests/model/test_quota_random.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from badgerseam.lab.lab import LabError
+from badgerseam.lab.errors import LabError
 from badgerseam.lab.site import SiteSpec
 from badgerseam.settings import StateParams, Team, WorkerParams
 from badgerseam.wire.cloud import MachineType
