--- a/badgerseam/lab/lab.py
+++ b/badgerseam/lab/lab.py
@@ -282,7 +282,7 @@
         return 0 if controller is None or controller.pid is None else controller.starts
 
     def _add_note(self, text: str) -> None:
-        log.warning("%s", text)
+        log.warning("controller event noted text=%r", text)
         self.notes.append(text)
         self.history.add("note", text=text)
 
--- a/badgerseam/lab/machines.py
+++ b/badgerseam/lab/machines.py
@@ -192,7 +192,12 @@
             try:
                 orders = _orders.decode(response.body)
             except msgspec.DecodeError as error:
-                log.error("%s: %s answered nonsense: %s", name, self._at, error)
+                log.error(
+                    "heartbeat response malformed machine=%s controller=%s error=%s",
+                    name,
+                    self._at,
+                    error,
+                )
                 return TRY_NEXT_S
             core.answered(sent, session, orders)
             return self._params.report_s * self._random.uniform(0.75, 1.25)
