--- a/badgerseam/cli/lab.py
+++ b/badgerseam/cli/lab.py
@@ -4,6 +4,7 @@
 
 import argparse
 import asyncio
+import importlib
 import json
 import os
 import tempfile
@@ -129,9 +130,11 @@
     """Run one of lab's commands; the exit code."""
     # The lab's libraries are an extra: what needs them is imported here and below.
     try:
-        from badgerseam.lab.lab import LabError
+        importlib.import_module("badgerseam.lab.lab")
     except ModuleNotFoundError as error:
         return fail(f"{error.name}: {MISSING_LIBRARIES}", EXIT_USAGE)
+    from badgerseam.lab.errors import LabError
+
     try:
         if options.order == "schema":
             return _print_schema(options)
@@ -207,7 +210,8 @@
 
 def _control_address(directory: Path) -> str:
     """The address at which the running lab takes commands; LabError if none runs."""
-    from badgerseam.lab.lab import LabError, read_running_lab
+    from badgerseam.lab.errors import LabError
+    from badgerseam.lab.lab_directory import read_running_lab
 
     address = read_running_lab(directory).get("control")
     if not isinstance(address, str):
--- a/badgerseam/cli/lab_experiment.py
+++ b/badgerseam/cli/lab_experiment.py
@@ -16,7 +16,8 @@
 from badgerseam.clock import Clock
 from badgerseam.lab.experiment import Experiment, load_experiment, play
 from badgerseam.lab.lab import Lab
-from badgerseam.lab.report import Report, write_report
+from badgerseam.lab.report import Report
+from badgerseam.lab.report_files import write_report
 from badgerseam.lab.site import SiteSpec
 
 
--- a/badgerseam/cli/lab_report.py
+++ b/badgerseam/cli/lab_report.py
@@ -5,7 +5,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from badgerseam.lab.report import Report, largest_cells
+from badgerseam.lab.report import Report
+from badgerseam.lab.report_files import largest_cells
 
 MAX_INVERSIONS_SHOWN = 5
 """Priority inversions that are printed; the report's file has all."""
--- a/badgerseam/cli/lab_site.py
+++ b/badgerseam/cli/lab_site.py
@@ -17,7 +17,9 @@
 from badgerseam.lab.control_endpoint import ControlEndpoint
 from badgerseam.lab.demo import demo
 from badgerseam.lab.fault_injector import FaultInjector
-from badgerseam.lab.lab import Lab, free_ports, read_running_lab
+from badgerseam.lab.lab import Lab
+from badgerseam.lab.lab_directory import read_running_lab
+from badgerseam.lab.ports import free_ports
 from badgerseam.lab.site import SiteSpec, load_site
 
 NOTES_INTERVAL_S = 0.5
--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -143,7 +143,7 @@
             if self.runs is not None:
                 group.create_task(self.runs.run_forever())
             if self.accounts is not None and self.accounts.log is not None:
-                group.create_task(self.accounts.log.keep())
+                group.create_task(self.accounts.log.run_forever())
             counts_s = self.tunables.counts_s
             group.create_task(PeriodicReview(self._driven, self._change_review, counts_s).run())
 
