--- a/badgerseam/slurm/acct.py
+++ b/badgerseam/slurm/acct.py
@@ -1,4 +1,4 @@
-"""bsacct: jobs that have ended, and totals by team and day."""
+"""bsacct: the accounting of jobs that have ended, of their attempts, and totals by team and day."""
 
 from __future__ import annotations
 
@@ -24,6 +24,9 @@
     "Day:10,Account:14,Jobs:.7,Cancelled:.10,Attempts:.9,CPUTime:.14,Wasted:.14,Money:.12"
 )
 
+END_PHASES = ("done", "withdrawn")
+"""Of the service, for jobs that have ended."""
+
 
 def _time_text(at: float | None) -> str:
     return "Unknown" if at is None else datetime.fromtimestamp(at).strftime("%Y-%m-%dT%H:%M:%S")
@@ -31,7 +34,8 @@
 
 def _duration_text(seconds: float) -> str:
     hours, rest = divmod(round(seconds), 3600)
-    return f"{hours:02}:{rest // 60:02}:{rest % 60:02}"
+    minutes, rest = divmod(rest, 60)
+    return f"{hours:02}:{minutes:02}:{rest:02}"
 
 
 def _job_number(line: AccountingLine) -> str:
@@ -111,122 +115,141 @@
     return None if line.seconds is None else line.ended_at - line.seconds
 
 
-def _text_or_unknown(value: float | None, text: str) -> str:
-    return "unknown" if value is None else text.format(value)
+def _text_or_unknown(value: float | None, template: str) -> str:
+    return "unknown" if value is None else template.format(value)
 
 
 def _elapsed_s(line: AccountingLine) -> float:
     return 0.0 if line.started_at is None else max(0.0, line.ended_at - line.started_at)
 
 
-def make_parser(node: Callable[[argparse.ArgumentParser], None]) -> argparse.ArgumentParser:
-    """The options of bsacct."""
-    made = argparse.ArgumentParser(prog="bsacct", description="List jobs that have ended.")
-    made.add_argument("-j", "--jobs", help="numbers or ids, with commas")
-    made.add_argument("-A", "--account", help="the team")
-    made.add_argument("-u", "--user")
-    made.add_argument("--name")
-    made.add_argument("-s", "--state", help="COMPLETED or CANCELLED, or short")
-    made.add_argument("-S", "--starttime", help="ended not before: 08:00, a date, now-style")
-    made.add_argument("-E", "--endtime", help="ended not after")
-    made.add_argument("-o", "--format", help="names with widths, with commas")
-    made.add_argument("-n", "--noheader", action="store_true")
-    made.add_argument("-P", "--parsable2", action="store_true", help="fields joined by |")
-    made.add_argument("--csv", action="store_true", help="line by line as it comes")
-    made.add_argument("--json", action="store_true")
-    made.add_argument("--attempts", action="store_true", help="of the jobs named, one by one")
-    made.add_argument("--totals", action="store_true", help="by team and day (UTC)")
-    node(made)
-    return made
+def make_parser(
+    add_node_option: Callable[[argparse.ArgumentParser], None],
+) -> argparse.ArgumentParser:
+    """The parser of bsacct's arguments."""
+    parser = argparse.ArgumentParser(prog="bsacct", description="List jobs that have ended.")
+    parser.add_argument("-j", "--jobs", help="numbers or ids, with commas")
+    parser.add_argument("-A", "--account", help="the team")
+    parser.add_argument("-u", "--user")
+    parser.add_argument("--name")
+    parser.add_argument("-s", "--state", help="COMPLETED or CANCELLED, or short")
+    parser.add_argument("-S", "--starttime", help="ended not before: 08:00, a date, now-style")
+    parser.add_argument("-E", "--endtime", help="ended not after")
+    parser.add_argument("-o", "--format", help="names with widths, with commas")
+    parser.add_argument("-n", "--noheader", action="store_true")
+    parser.add_argument("-P", "--parsable2", action="store_true", help="fields joined by |")
+    parser.add_argument("--csv", action="store_true", help="line by line as it comes")
+    parser.add_argument("--json", action="store_true")
+    parser.add_argument("--attempts", action="store_true", help="of the jobs named, one by one")
+    parser.add_argument("--totals", action="store_true", help="by team and day (UTC)")
+    add_node_option(parser)
+    return parser
 
 
 def parse_filters(options: argparse.Namespace, now: datetime) -> dict[str, str]:
-    """What is asked of the service; ValueProblem names what cannot be."""
-    found: dict[str, str] = {}
+    """The query that selects jobs; ValueFormatError names the option that cannot be used."""
+    query: dict[str, str] = {}
     for name, value in (("team", options.account), ("user", options.user), ("name", options.name)):
         if value is not None:
-            found[name] = value
+            query[name] = value
     for name, text in (("since", options.starttime), ("until", options.endtime)):
         if text is not None:
-            at = parse_begin(text, now)
-            # A time of day is the latest one that has been, not the next.
-            if at > now and ":" in text and "T" not in text and "-" not in text:
-                at = at.replace(day=now.day, month=now.month, year=now.year)
-            found[name] = f"{at.timestamp():.3f}"
+            query[name] = f"{_parse_past_time(text, now).timestamp():.3f}"
     if options.state is not None:
-        try:
-            wanted = parse_states(options.state)
-        except ValueError as error:
-            raise ValueFormatError(f"--state: {error}") from error
-        ended = [phase for phase, name in PHASE_STATES.items() if name in wanted]
-        ended = [phase for phase in ended if phase in ("done", "withdrawn")]
-        if not ended:
-            raise ValueFormatError("--state: jobs here end as COMPLETED or CANCELLED only")
-        if len(ended) == 1:
-            found["state"] = ended[0]
-    return found
+        phases = _parse_end_phases(options.state)
+        if len(phases) == 1:
+            query["state"] = phases[0]
+    return query
+
+
+def _parse_past_time(text: str, now: datetime) -> datetime:
+    """The time that the text stands for; a time of day is the latest one, not the next."""
+    time = parse_begin(text, now)
+    is_time_of_day = ":" in text and "T" not in text and "-" not in text
+    if time > now and is_time_of_day:
+        return time.replace(day=now.day, month=now.month, year=now.year)
+    return time
+
+
+def _parse_end_phases(text: str) -> list[str]:
+    """The phases of ended jobs among the states in a list such as CD,CANCELLED."""
+    try:
+        states = parse_states(text)
+    except ValueError as error:
+        raise ValueFormatError(f"--state: {error}") from error
+    phases = [phase for phase in END_PHASES if PHASE_STATES[phase] in states]
+    if not phases:
+        raise ValueFormatError("--state: jobs here end as COMPLETED or CANCELLED only")
+    return phases
 
 
 async def _matching_jobs(
     batch: BatchClient, options: argparse.Namespace
 ) -> AsyncIterator[AccountingLine]:
-    asked = parse_filters(options, datetime.now().astimezone())
+    query = parse_filters(options, datetime.now().astimezone())
     if options.jobs is None:
-        async for line in batch.accounting(asked):
+        async for line in batch.accounting(query):
             yield line
         return
     for job in options.jobs.split(","):
         job_id = await batch.resolve_id(job.strip())
-        async for line in batch.accounting(asked | {"job": job_id}):
+        async for line in batch.accounting(query | {"job": job_id}):
             yield line
 
 
 async def run(batch: BatchClient, options: argparse.Namespace) -> None:
-    """Print what is asked for."""
+    """Print totals, attempts or jobs, as the options say."""
     if options.totals:
-        totals = await batch.totals()
-        totals = [t for t in totals if options.account in (None, t.team)]
-        _print_table(Table(TOTAL_FIELDS), options.format or TOTALS_FORMAT, totals, options)
-        return
-    if options.attempts:
+        await _print_totals(batch, options)
+    elif options.attempts:
         await _print_attempts(batch, options)
-        return
-    table = Table(JOB_FIELDS)
-    columns = table.columns_by_name(options.format or DEFAULT_FORMAT)
-    if options.csv:
-        writer = csv.writer(sys.stdout, lineterminator="\n")
-        if not options.noheader:
-            writer.writerow([column.field.header for column in columns])
-        async for line in _matching_jobs(batch, options):
-            writer.writerow([column.field.value(line) for column in columns])
-        return
-    _print_table(
-        table,
-        options.format or DEFAULT_FORMAT,
-        [line async for line in _matching_jobs(batch, options)],
-        options,
-    )
+    elif options.csv:
+        await _print_jobs_as_csv(batch, options)
+    else:
+        table = Table(JOB_FIELDS)
+        # A format that cannot be used is refused before the service is asked.
+        table.columns_by_name(options.format or DEFAULT_FORMAT)
+        lines = [line async for line in _matching_jobs(batch, options)]
+        _print_table(table, options.format or DEFAULT_FORMAT, lines, options)
+
+
+async def _print_totals(batch: BatchClient, options: argparse.Namespace) -> None:
+    totals = await batch.totals()
+    totals = [total for total in totals if options.account in (None, total.team)]
+    _print_table(Table(TOTAL_FIELDS), options.format or TOTALS_FORMAT, totals, options)
 
 
 async def _print_attempts(batch: BatchClient, options: argparse.Namespace) -> None:
     if options.jobs is None:
         raise ValueFormatError("--attempts: name jobs with -j")
-    found: list[AttemptLine] = []
+    attempts: list[AttemptLine] = []
     for job in options.jobs.split(","):
         job_id = await batch.resolve_id(job.strip())
         lines, end = await batch.attempts(job_id)
-        found += lines
+        attempts += lines
         if end.records < end.attempts or not end.whole:
             print(
                 f"bsacct: {job_id}: {end.records} of {end.attempts} attempts have a record"
                 f"{'' if end.whole else '; not all of the log was looked at'}",
                 file=sys.stderr,
             )
-    _print_table(Table(ATTEMPT_FIELDS), options.format or ATTEMPTS_FORMAT, found, options)
+    _print_table(Table(ATTEMPT_FIELDS), options.format or ATTEMPTS_FORMAT, attempts, options)
+
+
+async def _print_jobs_as_csv(batch: BatchClient, options: argparse.Namespace) -> None:
+    """Print each job as its line arrives, so that long lists need no memory."""
+    columns = Table(JOB_FIELDS).columns_by_name(options.format or DEFAULT_FORMAT)
+    writer = csv.writer(sys.stdout, lineterminator="\n")
+    if not options.noheader:
+        writer.writerow([column.field.header for column in columns])
+    async for line in _matching_jobs(batch, options):
+        writer.writerow([column.field.value(line) for column in columns])
 
 
-def _print_table(table: Table[R], text: str, rows: list[R], options: argparse.Namespace) -> None:
-    columns = table.columns_by_name(text)
+def _print_table(
+    table: Table[R], table_format: str, rows: list[R], options: argparse.Namespace
+) -> None:
+    columns = table.columns_by_name(table_format)
     if options.json:
         print(json.dumps([msgspec.to_builtins(row) for row in rows], indent=2))
     elif options.parsable2:
--- a/badgerseam/slurm/client.py
+++ b/badgerseam/slurm/client.py
@@ -1,4 +1,4 @@
-"""What the commands ask of the service."""
+"""The requests of Slurm's commands to the service."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
 PAGE_SIZE = 200
 ACCOUNTING_PAGE_SIZE = 500
 MAX_JOBS_EXPLAINED = 300
-"""Waiting jobs whose reasons are asked for with a list."""
+"""With more waiting jobs than that the queue is listed without reasons."""
 
 
 class RefusedError(BadgerseamError):
-    """The service has refused; the message is its own."""
+    """The service refused a request; the message is the service's own, with the path."""
 
 
 class BatchClient:
-    """One method a question; Refusal if the service refuses."""
+    """One method a request; each raises RefusedError if the service refuses."""
 
-    def __init__(self, front: ServiceClient) -> None:
-        self._front = front
+    def __init__(self, service: ServiceClient) -> None:
+        self._service = service
 
     async def _request(
-        self, method: str, path: str, body: bytes | None = None, good: tuple[int, ...] = (200,)
+        self, method: str, path: str, body: bytes | None = None, accepted: tuple[int, ...] = (200,)
     ) -> Response:
-        response = await self._front.request(method, path, body)
-        if response.status not in good:
+        response = await self._service.request(method, path, body)
+        if response.status not in accepted:
             raise RefusedError(f"{path}: {_error_text(response)}")
         return response
 
     async def resolve_id(self, text: str) -> str:
-        """The id that a number, or an id, as typed, stands for."""
+        """The id of a job named by its number, its number and a task's, or its id."""
         if text.startswith("job-"):
             return text
         number = text.partition("_")[0]
@@ -61,15 +61,15 @@
         return ids[0]
 
     async def claim_numbers(self, count: int) -> list[int]:
-        """New job numbers."""
+        """New job numbers, which no other client gets."""
         body = wire.encode(wire.NumbersRequest(count))
         response = await self._request("POST", "/numbers", body)
         return wire.numbers_response_decoder.decode(response.body).numbers
 
     async def submit(self, spec: Submission) -> bool:
-        """Submit; False if the id is another job's."""
+        """Submit a job; False if its id is another job's."""
         body = msgspec.json.encode(spec)
-        response = await self._front.request("POST", "/submissions", body)
+        response = await self._service.request("POST", "/submissions", body)
         if response.status == 409:
             return False
         if response.status not in (200, 201):
@@ -77,45 +77,48 @@
         return True
 
     async def phase(self, job: str) -> str:
+        """The phase of a job."""
         response = await self._request("GET", f"/submissions/{job}")
         return str(json.loads(response.body).get("phase"))
 
     async def cancel(self, job: str) -> str:
-        """Cancel; the phase that the job has then."""
+        """Cancel a job; the phase that it has then."""
         response = await self._request("POST", f"/submissions/{job}/abort", b"{}")
         return str(json.loads(response.body).get("phase"))
 
     async def details(self, job: str) -> wire.Details:
+        """A job whole."""
         response = await self._request("GET", f"/submissions/{job}/details")
         return wire.details_decoder.decode(response.body)
 
     async def why(self, job: str) -> explain.Why | None:
-        """Why it waits, if anybody says so."""
-        response = await self._front.request("GET", f"/submissions/{job}/why")
+        """The explanation why a job waits; None if no controller has one."""
+        response = await self._service.request("GET", f"/submissions/{job}/why")
         return explain.why_decoder.decode(response.body) if response.status == 200 else None
 
-    async def update_terms(self, job: str, change: dict[str, Any]) -> None:
-        """Change a job's terms."""
-        await self._request("POST", f"/submissions/{job}/terms", json.dumps(change).encode())
+    async def update_terms(self, job: str, terms: dict[str, Any]) -> None:
+        """Change some of a job's terms."""
+        await self._request("POST", f"/submissions/{job}/terms", json.dumps(terms).encode())
 
     async def machines(self) -> list[wire.MachineRow]:
+        """The machines, those that are alike in one row."""
         response = await self._request("GET", "/machines")
         return wire.machines_decoder.decode(response.body)
 
     async def queue(self, reasons: bool) -> list[explain.QueueLine]:
         """All open jobs; with reasons of those that wait, unless they are very many.
 
-        A list without reasons needs no survey and is cheap at any length; beyond MOST_ASKED waiting
-        jobs it is enough to know which of them their own terms hold back.
+        A list without reasons needs no explanations and is cheap at any length; beyond
+        MAX_JOBS_EXPLAINED waiting jobs it shows only which of them their own terms hold back.
         """
         lines = await self._list_open_jobs({})
-        unknown = [line for line in lines if line.waiting and not line.reasons]
-        if not reasons or not 0 < len(unknown) <= MAX_JOBS_EXPLAINED:
+        unexplained = [line for line in lines if line.waiting and not line.reasons]
+        if not reasons or not 0 < len(unexplained) <= MAX_JOBS_EXPLAINED:
             return lines
-        told = {
+        explained = {
             line.id: line for line in await self._list_open_jobs({"reasons": "1", "waiting": "1"})
         }
-        return [told.get(line.id, line) for line in lines]
+        return [explained.get(line.id, line) for line in lines]
 
     async def _list_open_jobs(self, filters: dict[str, str]) -> list[explain.QueueLine]:
         lines: list[explain.QueueLine] = []
@@ -154,14 +157,14 @@
     async def attempts(
         self, job: str
     ) -> tuple[list[accounting_wire.AttemptLine], accounting_wire.AttemptsEnd]:
-        """A job's attempts, and how many there were."""
+        """The records of a job's attempts, and how complete they are."""
         response = await self._request("GET", f"/accounting/attempts?job={job}")
         *lines, last = response.body.splitlines()
-        found = [accounting_wire.attempt_decoder.decode(line) for line in lines]
-        return found, accounting_wire.attempts_end_decoder.decode(last)
+        attempts = [accounting_wire.attempt_decoder.decode(line) for line in lines]
+        return attempts, accounting_wire.attempts_end_decoder.decode(last)
 
     async def totals(self) -> list[accounting_wire.DayTotal]:
-        """By team and day."""
+        """The totals of each team and day."""
         response = await self._request("GET", "/accounting/totals")
         return accounting_wire.totals_decoder.decode(response.body)
 
--- a/badgerseam/slurm/commands.py
+++ b/badgerseam/slurm/commands.py
@@ -1,4 +1,4 @@
-"""The commands: bsbatch, bsqueue, bscancel, bsinfo, bscontrol."""
+"""The commands bsbatch, bsqueue, bscancel, bsinfo, bscontrol and bsacct."""
 
 from __future__ import annotations
 
@@ -17,15 +17,20 @@
 from badgerseam.cli.client import DEFAULT_NODE, NODES_VARIABLE, ServiceClient, UnreachableError
 from badgerseam.cli.exits import EXIT_FAILED, EXIT_OK, EXIT_UNREACHABLE, EXIT_USAGE
 from badgerseam.slurm import acct, control, queue, submit, values
+from badgerseam.slurm.batch_options import SubmissionError, parse_command
 from badgerseam.slurm.client import BatchClient, RefusedError
 from badgerseam.slurm.states import NODE_STATES
 from badgerseam.slurm.table import Field, Table, TableFormatError
 from badgerseam.wire import batch as wire
+from badgerseam.wire.users import Dependency
 
 WAIT_POLL_INTERVAL_S = 2.0
 PATIENCE_S = 60.0
+"""For how long a request is repeated that was refused for now or not answered."""
 READ_PATIENCE_S = 10.0
-"""Whoever only looks is told soon that nobody answers."""
+"""The same for commands that change nothing: they fail soon if no controller answers."""
+DRAFT_JOB_ID, DRAFT_NONCE = "job-1", "x"
+"""In place of what only the service assigns, where a job is checked and not submitted."""
 
 
 def _print_error(name: str, text: str) -> None:
@@ -38,10 +43,11 @@
     node: str | None,
     patience_s: float = PATIENCE_S,
 ) -> int:
+    """Run a command's work with a client of the nodes; the exit code, also for its errors."""
     nodes = node or os.environ.get(NODES_VARIABLE, DEFAULT_NODE)
     try:
         return asyncio.run(work(BatchClient(ServiceClient(nodes, patience_s))))
-    except (submit.SubmissionError, TableFormatError, values.ValueFormatError) as error:
+    except (SubmissionError, TableFormatError, values.ValueFormatError) as error:
         _print_error(name, str(error))
         return EXIT_USAGE
     except RefusedError as error:
@@ -62,47 +68,44 @@
 
 
 def bsbatch(arguments: Sequence[str] | None = None) -> int:
-    """Submit a job."""
-    given = list(sys.argv[1:] if arguments is None else arguments)
+    """Submit a job; the exit code."""
     try:
-        command = _parse_batch_arguments(given)
+        command = _parse_batch_arguments(sys.argv[1:] if arguments is None else arguments)
         script = submit.read_script(command, sys.stdin.read)
-        made = submit.make_draft(command, script)
-        # Whatever can be said without the service is said before it is asked.
-        made.submission("job-1", [], "x", datetime.now().astimezone())
-    except (submit.SubmissionError, values.ValueFormatError) as error:
+        draft = submit.make_draft(command, script)
+        # What is wrong without asking the service is reported before it is asked.
+        draft.submission(DRAFT_JOB_ID, [], DRAFT_NONCE, datetime.now().astimezone())
+    except (SubmissionError, values.ValueFormatError) as error:
         _print_error("bsbatch", str(error))
         return EXIT_USAGE
-    return _run_with_client("bsbatch", lambda batch: _submit(batch, command, made), command.node)
+    return _run_with_client("bsbatch", lambda batch: _submit(batch, command, draft), command.node)
 
 
-def _parse_batch_arguments(given: list[str]) -> argparse.Namespace:
-    # --node is ours, not a job's: it is taken out before a script's options are merged.
-    outer = argparse.ArgumentParser(add_help=False, allow_abbrev=False)
-    _add_node_option(outer)
-    own, rest = outer.parse_known_args(given)
-    command = submit.parse_command(rest)
-    command.node = own.node
+def _parse_batch_arguments(arguments: Sequence[str]) -> argparse.Namespace:
+    # --node belongs to the command, not to a job: it is taken out before a script's options are
+    # merged.
+    node_parser = argparse.ArgumentParser(add_help=False, allow_abbrev=False)
+    _add_node_option(node_parser)
+    node_options, rest = node_parser.parse_known_args(arguments)
+    command = parse_command(rest)
+    command.node = node_options.node
     return command
 
 
-async def _submit(batch: BatchClient, command: argparse.Namespace, made: submit.Draft) -> int:
+async def _submit(batch: BatchClient, command: argparse.Namespace, draft: submit.Draft) -> int:
     now = datetime.now().astimezone()
-    ids = {}
-    for _, job in made.depends.entries if made.depends else []:
-        ids[job] = await batch.resolve_id(job)
-    depends = values.resolve_dependencies(made.depends, ids) if made.depends else []
+    dependencies = await _resolve_dependencies(batch, draft.dependencies)
     if command.test_only:
-        spec = made.submission("job-1", depends, "x", now)
+        spec = draft.submission(DRAFT_JOB_ID, dependencies, DRAFT_NONCE, now)
         print(f"bsbatch: would be submitted: {msgspec.json.encode(spec).decode()}")
         return EXIT_OK
     while True:
         number = (await batch.claim_numbers(1))[0]
         job_id = f"job-{number}"
-        spec = made.submission(job_id, depends, secrets.token_hex(8), now)
+        spec = draft.submission(job_id, dependencies, secrets.token_hex(8), now)
         if await batch.submit(spec):
             break
-        # Somebody has chosen this very id meanwhile: the next number then.
+        # Another client has chosen this very id meanwhile: the next number then.
     print(number if command.parsable else f"Submitted batch job {number}", flush=True)
     if not command.parsable:
         print(
@@ -110,8 +113,21 @@
             "to them yet",
             file=sys.stderr,
         )
-    if not command.wait:
-        return EXIT_OK
+    return await _wait_for_end(batch, job_id) if command.wait else EXIT_OK
+
+
+async def _resolve_dependencies(
+    batch: BatchClient, dependencies: values.DependencyList | None
+) -> list[Dependency]:
+    if dependencies is None:
+        return []
+    ids = {}
+    for entry in dependencies.entries:
+        ids[entry.job] = await batch.resolve_id(entry.job)
+    return values.resolve_dependencies(dependencies, ids)
+
+
+async def _wait_for_end(batch: BatchClient, job_id: str) -> int:
     while True:
         phase = await batch.phase(job_id)
         if phase in ("done", "withdrawn"):
@@ -123,7 +139,7 @@
 
 
 def bscancel(arguments: Sequence[str] | None = None) -> int:
-    """Cancel jobs by number, or all that match."""
+    """Cancel jobs by number, or all that match; the exit code."""
     parser = argparse.ArgumentParser(prog="bscancel", description="Cancel jobs.")
     parser.add_argument("jobs", nargs="*", help="numbers, or ids such as job-000412")
     parser.add_argument("-A", "--account", help="the team")
@@ -143,20 +159,13 @@
 
 
 async def _cancel(batch: BatchClient, options: argparse.Namespace) -> int:
-    ids: list[str] = []
-    failed = False
-    for job in options.jobs:
-        if "_" in job:
-            _print_error("bscancel", f"{job}: a task of an array cannot be cancelled alone")
-            failed = True
-            continue
-        try:
-            ids.append(await batch.resolve_id(job))
-        except RefusedError as error:
-            _print_error("bscancel", str(error))
-            failed = True
+    ids, failed = await _resolve_named_jobs(batch, options.jobs)
     filters = queue.Filters(
-        options.account, options.user, options.name, queue.parse_states_option(options.state), None
+        options.account,
+        options.user,
+        options.name,
+        queue.parse_states_option(options.state),
+        None,
     )
     if not options.jobs:
         ids = [line.id for line in await batch.queue(False) if filters.matches(line)]
@@ -173,11 +182,28 @@
     return EXIT_FAILED if failed else EXIT_OK
 
 
+async def _resolve_named_jobs(batch: BatchClient, jobs: list[str]) -> tuple[list[str], bool]:
+    """The ids of jobs named by number or id, and whether any could not be resolved."""
+    ids: list[str] = []
+    failed = False
+    for job in jobs:
+        if "_" in job:
+            _print_error("bscancel", f"{job}: a task of an array cannot be cancelled alone")
+            failed = True
+            continue
+        try:
+            ids.append(await batch.resolve_id(job))
+        except RefusedError as error:
+            _print_error("bscancel", str(error))
+            failed = True
+    return ids, failed
+
+
 # ---- bsqueue ----
 
 
 def bsqueue(arguments: Sequence[str] | None = None) -> int:
-    """List open jobs."""
+    """List open jobs; the exit code."""
     options = queue.make_parser(_add_node_option).parse_args(arguments)
 
     async def work(batch: BatchClient) -> int:
@@ -204,7 +230,7 @@
 
 
 def bsinfo(arguments: Sequence[str] | None = None) -> int:
-    """List machines."""
+    """List machines; the exit code."""
     parser = argparse.ArgumentParser(
         prog="bsinfo", description="List machines.", conflict_handler="resolve"
     )
@@ -232,16 +258,16 @@
 
 
 def bscontrol(arguments: Sequence[str] | None = None) -> int:
-    """Show, hold, release and change jobs."""
+    """Show, hold, release and change jobs; the exit code."""
     parser = argparse.ArgumentParser(prog="bscontrol", description="Show and change jobs.")
     _add_node_option(parser)
-    orders = parser.add_subparsers(dest="order", required=True)
-    show = orders.add_parser("show", help="show job NUMBER")
+    subcommands = parser.add_subparsers(dest="order", required=True)
+    show = subcommands.add_parser("show", help="show job NUMBER")
     show.add_argument("what", choices=["job"])
     show.add_argument("job")
     for name in ("hold", "release"):
-        orders.add_parser(name, help=f"{name} jobs").add_argument("jobs", nargs="+")
-    update = orders.add_parser("update", help="update JobId=NUMBER Field=value ...")
+        subcommands.add_parser(name, help=f"{name} jobs").add_argument("jobs", nargs="+")
+    update = subcommands.add_parser("update", help="update JobId=NUMBER Field=value ...")
     update.add_argument("fields", nargs="+")
     options = parser.parse_args(arguments)
     return _run_with_client("bscontrol", lambda batch: _control(batch, options), options.node)
@@ -257,13 +283,13 @@
             job = await batch.resolve_id(name)
             await batch.update_terms(job, {"hold": options.order == "hold"})
         return EXIT_OK
-    name, change = control.parse_update(options.fields, datetime.now().astimezone())
-    if "depends" in change:
-        entries = change["depends"]
-        change["depends"] = [
+    job, terms = control.parse_update(options.fields, datetime.now().astimezone())
+    if "depends" in terms:
+        entries = terms["depends"]
+        terms["depends"] = [
             {"kind": kind, "job": await batch.resolve_id(other)} for kind, other in entries
         ]
-    await batch.update_terms(await batch.resolve_id(name), change)
+    await batch.update_terms(await batch.resolve_id(job), terms)
     return EXIT_OK
 
 
@@ -271,7 +297,7 @@
 
 
 def bsacct(arguments: Sequence[str] | None = None) -> int:
-    """List jobs that have ended."""
+    """List jobs that have ended; the exit code."""
     options = acct.make_parser(_add_node_option).parse_args(arguments)
 
     async def work(batch: BatchClient) -> int:
@@ -289,4 +315,4 @@
     "control": bscontrol,
     "acct": bsacct,
 }
-"""As orders of `badgerseam slurm`."""
+"""By the names that `badgerseam slurm` has for them."""
--- a/badgerseam/slurm/control.py
+++ b/badgerseam/slurm/control.py
@@ -1,25 +1,33 @@
-"""bscontrol: a job in Slurm's words, and changes of its terms."""
+"""bscontrol: a job as `scontrol show job` prints one, and updates of its terms."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from datetime import datetime
-from typing import Any
+from typing import Any, NamedTuple
 
+from badgerseam.slurm.batch_options import SubmissionError
 from badgerseam.slurm.states import PHASE_STATES, REASON_NAMES
-from badgerseam.slurm.submit import SubmissionError
 from badgerseam.slurm.values import ValueFormatError, parse_begin, parse_dependencies
 from badgerseam.wire.batch import Details
 from badgerseam.wire.explain import Why
+from badgerseam.wire.users import Submission, Terms
 
 CHANGEABLE_FIELDS = ("ArrayTaskThrottle", "StartTime", "Dependency", "Comment")
 
+_FieldRow = list[tuple[str, object]]
+"""Fields of one printed line, as names and values."""
+
 
 def job_text(job: Details, why: Why | None) -> str:
-    """A job, field by field."""
-    number = job.id.partition("-")[2].lstrip("0") or "0"
-    pairs: list[list[tuple[str, object]]] = [
-        [("JobId", number), ("Id", job.id)],
-        [("JobState", PHASE_STATES.get(job.phase, job.phase)), ("Reason", _reason_name(job, why))],
+    """A job, field by field, and the reasons that hold it back."""
+    spec = job.spec
+    rows: list[_FieldRow] = [
+        _identity_row(job),
+        [
+            ("JobState", PHASE_STATES.get(job.phase, job.phase)),
+            ("Reason", _reason_name(why)),
+        ],
         [
             ("NumTasks", job.tasks),
             ("Pending", job.waiting),
@@ -27,39 +35,55 @@
             ("Completed", job.done),
         ],
     ]
-    spec = job.spec
     if spec is not None:
-        terms = spec.terms
-        pairs[0].append(("JobName", terms.name if terms and terms.name else spec.job_class))
-        pairs += [
-            [("UserId", terms.user if terms else None), ("Account", spec.team)],
-            [("QOS", spec.priority), ("Partition", ",".join(spec.types or ["any"]))],
-            [
-                ("CPUs/Task", f"{spec.cpus:g}"),
-                ("MinMemoryGB", f"{spec.memory_gb:g}"),
-                ("TimeLimit", f"{spec.estimate_s:g}s"),
-            ],
-            [("SubmitTime", _time_text(job.submitted_at)), ("Image", spec.image)],
-        ]
-        if terms is not None:
-            depends = ("?" if terms.any else ",").join(
-                f"{entry.kind}:{entry.job.partition('-')[2]}" for entry in terms.depends
-            )
-            pairs.append(
-                [
-                    ("StartTime", _time_text(terms.begin_at)),
-                    ("ArrayTaskThrottle", terms.throttle),
-                    ("Dependency", depends or None),
-                ]
-            )
-            if terms.comment is not None:
-                pairs.append([("Comment", terms.comment)])
-    lines = [" ".join(f"{key}={_value_text(value)}" for key, value in row) for row in pairs]
+        rows += _submission_rows(job, spec)
+        if spec.terms is not None:
+            rows += _terms_rows(spec.terms)
+    lines = [" ".join(f"{key}={_value_text(value)}" for key, value in row) for row in rows]
     if why is not None:
         lines += [r.text for group in why.groups for r in group.reasons if r.binding]
     return "\n   ".join(lines)
 
 
+def _identity_row(job: Details) -> _FieldRow:
+    number = job.id.partition("-")[2].lstrip("0") or "0"
+    row: _FieldRow = [("JobId", number), ("Id", job.id)]
+    spec = job.spec
+    if spec is not None:
+        name = spec.terms.name if spec.terms else None
+        row.append(("JobName", name or spec.job_class))
+    return row
+
+
+def _submission_rows(job: Details, spec: Submission) -> list[_FieldRow]:
+    return [
+        [("UserId", spec.terms.user if spec.terms else None), ("Account", spec.team)],
+        [("QOS", spec.priority), ("Partition", ",".join(spec.types or ["any"]))],
+        [
+            ("CPUs/Task", f"{spec.cpus:g}"),
+            ("MinMemoryGB", f"{spec.memory_gb:g}"),
+            ("TimeLimit", f"{spec.estimate_s:g}s"),
+        ],
+        [("SubmitTime", _time_text(job.submitted_at)), ("Image", spec.image)],
+    ]
+
+
+def _terms_rows(terms: Terms) -> list[_FieldRow]:
+    dependencies = ("?" if terms.any else ",").join(
+        f"{entry.kind}:{entry.job.partition('-')[2]}" for entry in terms.depends
+    )
+    rows: list[_FieldRow] = [
+        [
+            ("StartTime", _time_text(terms.begin_at)),
+            ("ArrayTaskThrottle", terms.throttle),
+            ("Dependency", dependencies or None),
+        ]
+    ]
+    if terms.comment is not None:
+        rows.append([("Comment", terms.comment)])
+    return rows
+
+
 def _value_text(value: object) -> str:
     return "(null)" if value is None else str(value)
 
@@ -68,46 +92,74 @@
     return None if at is None else datetime.fromtimestamp(at).strftime("%Y-%m-%dT%H:%M:%S")
 
 
-def _reason_name(job: Details, why: Why | None) -> str:
+def _reason_name(why: Why | None) -> str:
     if why is None:
         return "None"
     return next((REASON_NAMES[code] for code in why.binding if code in REASON_NAMES), "None")
 
 
-def parse_update(fields: list[str], now: datetime) -> tuple[str, dict[str, Any]]:
-    """The job and the changes in JobId=N Field=value ...; Problem names the wrong one."""
+class JobUpdate(NamedTuple):
+    """A change of a job's terms, as typed."""
+
+    job: str
+    """The job's number or id."""
+    terms: dict[str, Any]
+    """The terms that change, in the form of the request; dependencies by number still."""
+
+
+def parse_update(fields: list[str], now: datetime) -> JobUpdate:
+    """The update in JobId=N Field=value ...; SubmissionError names the field that is wrong."""
     job: str | None = None
-    change: dict[str, Any] = {}
+    terms: dict[str, Any] = {}
     for field in fields:
         name, equals, value = field.partition("=")
-        key = name.lower()
         if not equals:
             raise SubmissionError(f"{field!r}: write Field=value")
+        if name.lower() in ("jobid", "job"):
+            job = value
+            continue
+        parse = _TERMS_PARSERS.get(name.lower())
+        if parse is None:
+            known = ", ".join(CHANGEABLE_FIELDS)
+            raise SubmissionError(f"{name}: cannot be changed; there are {known}")
         try:
-            if key in ("jobid", "job"):
-                job = value
-            elif key == "arraytaskthrottle":
-                if not value.isdecimal():
-                    raise ValueFormatError(f"{value!r} is no number; 0 takes the throttle away")
-                change["throttle"] = int(value) or None
-            elif key == "starttime":
-                change["beginAt"] = parse_begin(value, now).timestamp()
-            elif key == "dependency":
-                wanted = parse_dependencies(value) if value else None
-                if wanted is not None and wanted.singleton:
-                    raise ValueFormatError("singleton is set when a job is submitted")
-                change["depends"] = [] if wanted is None else wanted.entries
-                change["any"] = False if wanted is None else wanted.any
-            elif key == "comment":
-                change["comment"] = value or None
-            else:
-                raise SubmissionError(
-                    f"{name}: cannot be changed; there are {', '.join(CHANGEABLE_FIELDS)}"
-                )
+            terms |= parse(value, now)
         except ValueFormatError as error:
             raise SubmissionError(f"{name}: {error}") from error
     if job is None:
         raise SubmissionError("JobId=NUMBER is needed")
-    if not change:
+    if not terms:
         raise SubmissionError(f"nothing to change; there are {', '.join(CHANGEABLE_FIELDS)}")
-    return job, change
+    return JobUpdate(job, terms)
+
+
+def _parse_throttle(value: str, _: datetime) -> dict[str, Any]:
+    if not value.isdecimal():
+        raise ValueFormatError(f"{value!r} is no number; 0 takes the throttle away")
+    return {"throttle": int(value) or None}
+
+
+def _parse_start_time(value: str, now: datetime) -> dict[str, Any]:
+    return {"beginAt": parse_begin(value, now).timestamp()}
+
+
+def _parse_dependency(value: str, _: datetime) -> dict[str, Any]:
+    if not value:
+        return {"depends": [], "any": False}
+    dependencies = parse_dependencies(value)
+    if dependencies.is_singleton:
+        raise ValueFormatError("singleton is set when a job is submitted")
+    return {"depends": dependencies.entries, "any": dependencies.is_any}
+
+
+def _parse_comment(value: str, _: datetime) -> dict[str, Any]:
+    return {"comment": value or None}
+
+
+_TERMS_PARSERS: dict[str, Callable[[str, datetime], dict[str, Any]]] = {
+    "arraytaskthrottle": _parse_throttle,
+    "starttime": _parse_start_time,
+    "dependency": _parse_dependency,
+    "comment": _parse_comment,
+}
+"""By the name of a field in lower case: from its value and the present time to terms."""
--- a/badgerseam/slurm/queue.py
+++ b/badgerseam/slurm/queue.py
@@ -1,4 +1,4 @@
-"""bsqueue: one line for what waits of a job, one for what runs."""
+"""bsqueue: one line for a job's waiting tasks and one for those that run."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueRow:
-    """Tasks of a job in one state."""
+    """A line of the list: the tasks of a job that are in one state."""
 
     line: QueueLine
     state: str
@@ -27,17 +27,16 @@
 
     @property
     def number(self) -> str:
-        """The job's number; of an array with how many of its tasks the line is about."""
-        digits = self.line.id.partition("-")[2].lstrip("0") or "0"
+        """The job's number; of an array, with the number of tasks in this row."""
+        digits = _job_number(self.line.id) or "0"
         return f"{digits}_[{self.tasks}]" if self.line.array else digits
 
 
 def _elapsed_text(seconds: float) -> str:
-    whole = int(seconds)
-    days, rest = divmod(whole, 86400)
+    days, rest = divmod(int(seconds), 86400)
     hours, rest = divmod(rest, 3600)
-    minutes, secs = divmod(rest, 60)
-    text = f"{hours}:{minutes:02}:{secs:02}" if hours or days else f"{minutes}:{secs:02}"
+    minutes, rest = divmod(rest, 60)
+    text = f"{hours}:{minutes:02}:{rest:02}" if hours or days else f"{minutes}:{rest:02}"
     return f"{days}-{text}" if days else text
 
 
@@ -76,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Filters:
-    """Which jobs are meant."""
+    """What a job has to have to be listed or cancelled; None admits any."""
 
     account: str | None
     user: str | None
@@ -85,7 +84,7 @@
     jobs: set[str] | None
 
     def matches(self, line: QueueLine) -> bool:
-        """Whether a job is among them, whatever its tasks do, its state aside."""
+        """Whether a job matches; `states` is compared with the job's phase, not with its tasks."""
         return (
             self.account in (None, line.team)
             and self.user in (None, line.user)
@@ -100,7 +99,7 @@
 
 
 def parse_states_option(text: str | None) -> set[str] | None:
-    """The states in an option; ValueProblem names an unknown one."""
+    """The states in the value of --states; ValueFormatError names an unknown one."""
     if text is None:
         return None
     try:
@@ -109,56 +108,57 @@
         raise ValueFormatError(f"--states: {error}") from error
 
 
-def make_parser(node: Callable[[argparse.ArgumentParser], None]) -> argparse.ArgumentParser:
-    """The options of bsqueue."""
-    made = argparse.ArgumentParser(
+def make_parser(
+    add_node_option: Callable[[argparse.ArgumentParser], None],
+) -> argparse.ArgumentParser:
+    """The parser of bsqueue's arguments."""
+    parser = argparse.ArgumentParser(
         prog="bsqueue", description="List open jobs.", conflict_handler="resolve"
     )
-    made.add_argument("-j", "--jobs", help="numbers, with commas")
-    made.add_argument("-A", "--account", help="the team")
-    made.add_argument("-u", "--user")
-    made.add_argument("--me", action="store_true")
-    made.add_argument("-n", "--name")
-    made.add_argument("-t", "--states", help="PENDING, RUNNING or short, with commas")
-    made.add_argument(
-        "-o", "--format", help=f"letters (default {DEFAULT_FORMAT.replace('%', '%%')})"
-    )
-    made.add_argument("-O", "--Format", dest="long", help="names, with commas")
-    made.add_argument("-h", "--noheader", action="store_true")
-    made.add_argument("--parsable2", action="store_true", help="fields joined by |")
-    made.add_argument("--json", action="store_true")
-    node(made)
-    return made
+    parser.add_argument("-j", "--jobs", help="numbers, with commas")
+    parser.add_argument("-A", "--account", help="the team")
+    parser.add_argument("-u", "--user")
+    parser.add_argument("--me", action="store_true")
+    parser.add_argument("-n", "--name")
+    parser.add_argument("-t", "--states", help="PENDING, RUNNING or short, with commas")
+    default_format = DEFAULT_FORMAT.replace("%", "%%")
+    parser.add_argument("-o", "--format", help=f"letters (default {default_format})")
+    parser.add_argument("-O", "--Format", dest="long", help="names, with commas")
+    parser.add_argument("-h", "--noheader", action="store_true")
+    parser.add_argument("--parsable2", action="store_true", help="fields joined by |")
+    parser.add_argument("--json", action="store_true")
+    add_node_option(parser)
+    return parser
 
 
 def select_rows(lines: list[QueueLine], options: argparse.Namespace) -> list[QueueRow]:
-    """What is to be listed, in the order of the numbers."""
-    jobs = None if options.jobs is None else {j.strip() for j in options.jobs.split(",")}
+    """The rows that the options ask for, in the order of the jobs' numbers."""
+    jobs = None if options.jobs is None else {job.strip() for job in options.jobs.split(",")}
     user = getpass.getuser() if options.me else options.user
-    wanted = parse_states_option(options.states)
+    states = parse_states_option(options.states)
+    # Of a job's two rows one may have the state: states are compared row by row below.
     filters = Filters(options.account, user, options.name, None, jobs)
-    found: list[QueueRow] = []
+    rows: list[QueueRow] = []
     for line in sorted(lines, key=lambda line: int(_job_number(line.id) or "0")):
         if not filters.matches(line):
             continue
         if line.waiting or not line.running:
-            found.append(QueueRow(line, "PENDING", line.waiting))
+            rows.append(QueueRow(line, "PENDING", line.waiting))
         if line.running:
-            found.append(QueueRow(line, "RUNNING", line.running))
-    return [row for row in found if wanted is None or row.state in wanted]
+            rows.append(QueueRow(line, "RUNNING", line.running))
+    return [row for row in rows if states is None or row.state in states]
 
 
-def render_rows(found: list[QueueRow], options: argparse.Namespace) -> str:
-    """The list as it is printed."""
+def render_rows(rows: list[QueueRow], options: argparse.Namespace) -> str:
+    """The list as it is printed: JSON, separated by | or in columns."""
     table = Table(FIELDS)
     if options.json:
-        names = [field for field in FIELDS if field.name != "ReasonList"]
-        return json.dumps([{f.name: f.value(row) for f in names} for row in found], indent=2)
-    columns = (
-        table.columns_by_name(options.long)
-        if options.long
-        else table.columns_by_letter(options.format or DEFAULT_FORMAT)
-    )
+        fields = [field for field in FIELDS if field.name != "ReasonList"]
+        return json.dumps([{f.name: f.value(row) for f in fields} for row in rows], indent=2)
+    if options.long:
+        columns = table.columns_by_name(options.long)
+    else:
+        columns = table.columns_by_letter(options.format or DEFAULT_FORMAT)
     if options.parsable2:
-        return table.render_parsable(columns, found, not options.noheader)
-    return table.render(columns, found, not options.noheader)
+        return table.render_parsable(columns, rows, not options.noheader)
+    return table.render(columns, rows, not options.noheader)
--- a/badgerseam/slurm/states.py
+++ b/badgerseam/slurm/states.py
@@ -1,4 +1,4 @@
-"""Slurm's names for what the service knows: job states, reasons, node states."""
+"""Slurm's names of job states, reasons and node states."""
 
 from __future__ import annotations
 
@@ -26,6 +26,7 @@
     "done": "COMPLETED",
     "withdrawn": "CANCELLED",
 }
+"""Job states by the service's phase of a job."""
 
 REASON_NAMES: dict[Code, str] = {
     "held": "JobHeldUser",
@@ -56,6 +57,8 @@
     "next_plan": "None",
     "no_owner": "SystemFailure",
 }
+"""Slurm's reasons by the code of an explanation."""
+
 NODE_STATES = {
     "allocated": "alloc",
     "mixed": "mix",
@@ -63,25 +66,26 @@
     "booting": "boot",
     "drained": "drain",
 }
+"""Short node states by the service's state of machines."""
 
 
 def parse_states(text: str) -> set[str]:
     """Full names of the states in a list such as PD,running; ValueError names the unknown one."""
-    short = {value: name for name, value in STATE_ABBREVIATIONS.items()}
-    found: set[str] = set()
+    names = {short: name for name, short in STATE_ABBREVIATIONS.items()}
+    states: set[str] = set()
     for part in text.split(","):
         name = part.strip().upper()
         if name == "ALL":
             return set(STATE_ABBREVIATIONS)
-        name = short.get(name, name)
+        name = names.get(name, name)
         if name not in STATE_ABBREVIATIONS:
             raise ValueError(f"{part!r} is no state; there are {', '.join(STATE_ABBREVIATIONS)}")
-        found.add(name)
-    return found
+        states.add(name)
+    return states
 
 
 def reason_name(line: QueueLine) -> str:
-    """Slurm's word for what holds a job's waiting tasks back."""
+    """Slurm's reason for a job's waiting tasks: that of the first code which has one."""
     for code in line.reasons:
         if code in REASON_NAMES:
             return REASON_NAMES[code]
--- a/badgerseam/slurm/table.py
+++ b/badgerseam/slurm/table.py
@@ -11,14 +11,17 @@
 
 R = TypeVar("R")
 
+DEFAULT_WIDTH = 20
+"""Of a column of -O without a width, as in Slurm's commands."""
+
 
 class TableFormatError(BadgerseamError, ValueError):
-    """The format names a field that is not there."""
+    """A format names a field that the table does not have; the message lists those it has."""
 
 
 @dataclass(frozen=True, slots=True)
 class Field(Generic[R]):
-    """A column: its letter for -o, its name for -O, its head and its value."""
+    """A field of a row: its letter for -o, its name for -O, its header, and how a row shows it."""
 
     letter: str
     name: str
@@ -28,66 +31,73 @@
 
 @dataclass(frozen=True, slots=True)
 class Column(Generic[R]):
+    """A field at its place in a format; `prefix` is the text between it and the column before."""
+
     field: Field[R]
     width: int | None
-    right: bool
+    is_right_aligned: bool
     prefix: str
 
 
 class Table(Generic[R]):
-    """Rows of one kind, by fields."""
+    """Formats rows of one type, with the columns that a format names among its fields."""
 
     def __init__(self, fields: Sequence[Field[R]]) -> None:
         self._letters: Mapping[str, Field[R]] = {f.letter: f for f in fields if f.letter}
         self._names: Mapping[str, Field[R]] = {f.name.lower(): f for f in fields}
 
     def columns_by_letter(self, text: str) -> list[Column[R]]:
-        """Columns of a format such as "%.18i %.9P %j"."""
+        """Columns of a format such as "%.18i %.9P %j"; TableFormatError for an unknown letter."""
         columns: list[Column[R]] = []
-        end = 0
-        for found in re.finditer(r"%(\.?)(\d*)([A-Za-z])", text):
-            if found[3] not in self._letters:
+        prefix_start = 0
+        for match in re.finditer(r"%(\.?)(\d*)([A-Za-z])", text):
+            if match[3] not in self._letters:
                 known = " ".join(f"%{letter}" for letter in sorted(self._letters))
-                raise TableFormatError(f"%{found[3]}: no such field; there are {known}")
+                raise TableFormatError(f"%{match[3]}: no such field; there are {known}")
             columns.append(
                 Column(
-                    self._letters[found[3]],
-                    int(found[2]) if found[2] else None,
-                    bool(found[1]),
-                    text[end : found.start()],
+                    self._letters[match[3]],
+                    int(match[2]) if match[2] else None,
+                    bool(match[1]),
+                    text[prefix_start : match.start()],
                 )
             )
-            end = found.end()
+            prefix_start = match.end()
         if not columns:
             raise TableFormatError(f"{text!r} names no field such as %i")
         return columns
 
     def columns_by_name(self, text: str) -> list[Column[R]]:
-        """Columns of a format such as "JobID:10,Name,State"."""
+        """Columns of a format such as "JobID:10,Name"; TableFormatError for an unknown name."""
         columns: list[Column[R]] = []
         for part in text.split(","):
             name, colon, width = part.strip().partition(":")
-            right = width.startswith(".")
+            is_right_aligned = width.startswith(".")
             width = width.lstrip(".")
             if name.lower() not in self._names or (colon and not width.isdecimal()):
                 known = ", ".join(field.name for field in self._names.values())
                 raise TableFormatError(f"{part!r}: no such field; there are {known}")
-            size = int(width) if colon else 20
-            columns.append(Column(self._names[name.lower()], size, right, " " * bool(columns)))
+            column_width = int(width) if colon else DEFAULT_WIDTH
+            separator = " " if columns else ""
+            columns.append(
+                Column(self._names[name.lower()], column_width, is_right_aligned, separator)
+            )
         return columns
 
-    def render(self, columns: Sequence[Column[R]], rows: Sequence[R], head: bool) -> str:
-        """The table as it is printed."""
+    def render(self, columns: Sequence[Column[R]], rows: Sequence[R], has_header: bool) -> str:
+        """Columns padded to their widths, one line a row."""
         lines = []
-        if head:
+        if has_header:
             lines.append("".join(c.prefix + _fit(c.field.header, c) for c in columns))
         for row in rows:
             lines.append("".join(c.prefix + _fit(c.field.value(row), c) for c in columns))
         return "\n".join(line.rstrip() for line in lines)
 
-    def render_parsable(self, columns: Sequence[Column[R]], rows: Sequence[R], head: bool) -> str:
+    def render_parsable(
+        self, columns: Sequence[Column[R]], rows: Sequence[R], has_header: bool
+    ) -> str:
         """Fields joined by |, as --parsable2 of Slurm's commands."""
-        lines = ["|".join(c.field.header for c in columns)] if head else []
+        lines = ["|".join(c.field.header for c in columns)] if has_header else []
         lines += ["|".join(c.field.value(row) for c in columns) for row in rows]
         return "\n".join(lines)
 
@@ -96,4 +106,4 @@
     if column.width is None:
         return text
     text = text[: column.width]
-    return text.rjust(column.width) if column.right else text.ljust(column.width)
+    return text.rjust(column.width) if column.is_right_aligned else text.ljust(column.width)
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -28,8 +28,8 @@
 from badgerseam.lab.worker import Description, Identity, Results, WorkerCore
 from badgerseam.model.resources import Resources
 from badgerseam.settings import CloudParams, SettingsError, StateParams, WorkerParams
+from badgerseam.slurm.batch_options import ACCOUNT_VARIABLE
 from badgerseam.slurm.commands import bsacct, bsbatch, bscancel, bsqueue
-from badgerseam.slurm.submit import ACCOUNT_VARIABLE
 from badgerseam.store.client import ConditionFailedError, LeaseExpiredError, RevisionCompactedError
 from badgerseam.wire import cloud as cloud_wire
 from badgerseam.wire import state as wire
