--- a/badgerseam/api/accounting.py
+++ b/badgerseam/api/accounting.py
@@ -1,4 +1,4 @@
-"""What users ask of jobs that have ended."""
+"""Accounting: jobs that have ended, their attempts, totals by day and team."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from badgerseam.accounting.attempts import AttemptLog
 from badgerseam.accounting.job_history import JobHistory
 from badgerseam.api.lists import BadQueryError, lines_reply, read_filters
+from badgerseam.api.replies import no_such_path_reply, starting_reply
 from badgerseam.http.budget import RateBudget
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.model import Model
@@ -14,30 +15,49 @@
 
 ACCOUNTING = "/accounting"
 ATTEMPTS_PER_S = 2.0
-"""Each reads pages of the log from the state service, whose requests others need as well."""
+"""Requests for attempts a second: each reads pages of the log from the state service, whose
+requests others need as well."""
+ATTEMPTS_BURST_S = 3.0
+"""Seconds of that rate that may be used at once."""
 MAX_JOBS_SCANNED = 2000
-"""Jobs looked at for one answer; the last line then says where to go on."""
+"""Jobs examined for one answer; the last line then says where to go on."""
 FILTERS = ("job", "team", "class", "user", "name", "state", "since", "until", "limit", "after")
 
 
 class AccountingApi:
-    """Lists and totals, from any controller."""
+    """Answers `/accounting` and what lies below it, on any controller."""
 
-    def __init__(self, model: Model, book: JobHistory, attempts: AttemptLog | None = None) -> None:
+    def __init__(
+        self, model: Model, history: JobHistory, attempt_log: AttemptLog | None = None
+    ) -> None:
         self._model = model
-        self._book = book
-        self._attempts = attempts
-        self._door = RateBudget(model.clock, ATTEMPTS_PER_S, 3.0)
+        self._history = history
+        self._attempt_log = attempt_log
+        self._rate = RateBudget(model.clock, ATTEMPTS_PER_S, ATTEMPTS_BURST_S)
+
+    async def handle(self, method: str, path: str, query: str) -> Reply:
+        """A request at or below `/accounting`; the path comes without its query."""
+        if method != "GET":
+            return error_reply(405, "GET only")
+        if not self._model.loaded:
+            return starting_reply()
+        if path == ACCOUNTING:
+            return self.jobs(query)
+        if path == f"{ACCOUNTING}/attempts":
+            return await self.attempts(query)
+        if path == f"{ACCOUNTING}/totals":
+            return self.totals()
+        return no_such_path_reply()
 
     async def attempts(self, query: str) -> Reply:
         """The attempts of one job, a line each, and a last line that counts them."""
         job_id = dict(parse_qsl(query)).get("job", "")
-        if self._attempts is None:
+        if self._attempt_log is None:
             return error_reply(404, "no log of attempts is kept (accounting.attempts)")
-        if not self._door.take():
+        if not self._rate.take():
             return error_reply(429, "too many questions", 1)
         with self._model.lock:
-            ended = self._book.get(job_id)
+            ended = self._history.get(job_id)
             job = self._model.job(job_id)
             if ended is not None:
                 team, since, until = ended.team, ended.submitted_at, ended.ended_at
@@ -51,44 +71,48 @@
             shard = None if index is None else self._model.teams[index].shard
         if shard is None:
             return error_reply(404, "its team is not among the settings any more")
-        bound = self._model.settings.params.time_bound_ms / 1000
-        found, whole = await self._attempts.read(shard, job_id, since - bound, until + bound)
-        lines = [encode(attempt_line(record)) for record in found]
-        return lines_reply([*lines, encode(AttemptsEnd(len(found), count, whole))])
+        clock_error_s = self._model.settings.params.time_bound_ms / 1000
+        records, is_complete = await self._attempt_log.read(
+            shard, job_id, since - clock_error_s, until + clock_error_s
+        )
+        lines = [encode(attempt_line(record)) for record in records]
+        return lines_reply([*lines, encode(AttemptsEnd(len(records), count, is_complete))])
 
     def totals(self) -> Reply:
-        """By day and team."""
+        """Totals by day and team."""
         with self._model.lock:
-            return Reply(200, encode(self._book.totals()))
+            return Reply(200, encode(self._history.totals()))
 
     def jobs(self, query: str) -> Reply:
         """Ended jobs, the latest first, a line each; a last line {"after": ID} if there may be
-        more."""
+        more.
+        """
         try:
             filters, limit = read_filters(query, FILTERS)
             since, until = _times(filters)
-        except BadQueryError as bad:
-            return bad.reply
-        found: list[bytes] = []
-        more: str | None = None
+        except BadQueryError as refusal:
+            return refusal.reply
+        lines: list[bytes] = []
+        last_id: str | None = None
         with self._model.lock:
             if "job" in filters:
-                only = self._book.get(filters["job"])
-                lines = iter([] if only is None else [only])
+                job = self._history.get(filters["job"])
+                entries = iter([] if job is None else [job])
             else:
-                lines = self._book.lines(filters.get("after"))
-            for looked, entry in enumerate(lines, 1):
+                entries = self._history.lines(filters.get("after"))
+            for scanned, entry in enumerate(entries, 1):
                 if since <= entry.ended_at <= until and _matches(entry, filters):
-                    found.append(encode(entry))
-                if len(found) >= limit or looked >= MAX_JOBS_SCANNED:
-                    more = entry.id
+                    lines.append(encode(entry))
+                if len(lines) >= limit or scanned >= MAX_JOBS_SCANNED:
+                    last_id = entry.id
                     break
-        if more is not None:
-            found.append(encode({"after": more}))
-        return lines_reply(found)
+        if last_id is not None:
+            lines.append(encode({"after": last_id}))
+        return lines_reply(lines)
 
 
 def _times(filters: dict[str, str]) -> tuple[float, float]:
+    """From when to when jobs must have ended, in seconds since 1970."""
     try:
         return float(filters.get("since", "0")), float(filters.get("until", "inf"))
     except ValueError as error:
--- a/badgerseam/api/batch.py
+++ b/badgerseam/api/batch.py
@@ -1,4 +1,4 @@
-"""What batch clients ask of any controller, on the same jobs as every other client."""
+"""What batch clients ask of any controller: job numbers, terms, details, machines."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 
 import msgspec
 
+from badgerseam.api.replies import escaped_error_reply, starting_reply
 from badgerseam.batch.numbers import JobNumbers
 from badgerseam.batch.terms import TermsError, TermsRules
 from badgerseam.http.budget import RateBudget
@@ -18,16 +19,23 @@
 from badgerseam.store.job_records import Change
 from badgerseam.store.ledger import Ledger
 from badgerseam.wire import batch as wire
-from badgerseam.wire.users import Submission, Terms
+from badgerseam.wire.users import Dependency, Submission, Terms
 
 NUMBERS = "/numbers"
 MACHINES = "/machines"
 MAX_NAMES = 20
+"""Machines of a row that are named."""
+MAX_NUMBER_DIGITS = 18
+MAX_ERROR_LENGTH = 300
+"""Characters of a decoder's message that a client gets."""
+NUMBERS_BURST_S = 2.0
+NUMBERS_MIN_BURST = 100.0
+"""Numbers that may always be handed out at once."""
 PHASES = {Phase.OPEN: "open", Phase.DONE: "done", Phase.CANCELLED: "withdrawn"}
 
 
 class BatchApi:
-    """Numbers, terms, details, machines."""
+    """Answers `/numbers` and `/machines`, and what batch clients ask of jobs."""
 
     def __init__(
         self,
@@ -41,18 +49,32 @@
         self._ledger = ledger
         self._numbers = numbers
         self._rules = rules
-        self._door = RateBudget(model.clock, options.numbers_per_s, 2.0, least_burst=100.0)
+        self._number_rate = RateBudget(
+            model.clock, options.numbers_per_s, NUMBERS_BURST_S, least_burst=NUMBERS_MIN_BURST
+        )
+
+    async def handle(self, method: str, path: str, body: bytes) -> Reply:
+        """A request for numbers or machines; the path comes without its query."""
+        if not self._model.loaded:
+            return starting_reply()
+        if path == NUMBERS and method == "POST":
+            return await self.allocate_numbers(body)
+        if path.startswith(NUMBERS + "/") and method == "GET":
+            return self.find_number(path[len(NUMBERS) + 1 :])
+        if path == MACHINES and method == "GET":
+            return self.machines()
+        return error_reply(404, "no such path, or another method")
 
     # ---- submissions ----
 
     async def refusal(self, spec: Submission) -> str | None:
         """Why a new job's terms cannot be taken, or None."""
 
-        async def known(job_id: str) -> bool:
+        async def is_known(job_id: str) -> bool:
             return await self._ledger.read(job_id) is not None
 
         try:
-            await self._rules.check(spec, known)
+            await self._rules.check(spec, is_known)
         except TermsError as error:
             return str(error)
         return None
@@ -65,8 +87,8 @@
             job = self._model.job(spec.id)
             if job is None:
                 return False
-            held = job.spec.terms
-        return held is None or held.nonce != spec.terms.nonce
+            known_terms = job.spec.terms
+        return known_terms is None or known_terms.nonce != spec.terms.nonce
 
     # ---- numbers ----
 
@@ -76,13 +98,14 @@
             count = wire.numbers_request_decoder.decode(body or b"{}").count
         except msgspec.DecodeError as error:
             return _bad_request(error)
-        if not self._door.take(count):
-            return error_reply(429, "too many numbers", max(1, math.ceil(self._door.wait_s(count))))
+        if not self._number_rate.take(count):
+            wait_s = max(1, math.ceil(self._number_rate.wait_s(count)))
+            return error_reply(429, "too many numbers", wait_s)
         return Reply(200, wire.encode(wire.NumbersResponse(await self._numbers.take(count))))
 
     def find_number(self, text: str) -> Reply:
         """The jobs that a number stands for."""
-        if not text.isdecimal() or not 1 <= len(text) <= 18:
+        if not text.isdecimal() or not 1 <= len(text) <= MAX_NUMBER_DIGITS:
             return error_reply(400, "a job number has 1 to 18 digits")
         return Reply(200, wire.encode(wire.NumberLookup(self._numbers.ids_of(int(text)))))
 
@@ -91,45 +114,61 @@
     async def amend(self, job_id: str, body: bytes) -> Reply:
         """Change an open job's terms."""
         try:
-            wanted = wire.amendment_decoder.decode(body)
+            amendment = wire.amendment_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return _bad_request(error)
-        fields = _given_fields(wanted)
-        if wanted.depends is not msgspec.UNSET:
-            for place, entry in enumerate(wanted.depends):
-                with self._model.lock:
-                    seen = entry.job in self._model.ended or entry.job in self._model.job_index
-                if not seen and await self._ledger.read(entry.job) is None:
-                    text = f"depends[{place}].job: {entry.job} was never submitted"
-                    return Reply(422, wire.encode({"error": text}))
+        fields = _given_fields(amendment)
+        if amendment.depends is not msgspec.UNSET:
+            unknown = await self._unknown_dependency(amendment.depends)
+            if unknown is not None:
+                return escaped_error_reply(422, unknown)
 
         def change(job: Job) -> tuple[Submission, dict[str, int]]:
-            before = job.spec.terms or Terms()
-            after = msgspec.structs.replace(before, **fields)
-            if after.throttle is not None and job.is_gang:
-                raise TermsError("throttle: a gang's tasks run together or not at all")
-            if after.any and not after.depends:
-                raise TermsError("any: there are no dependencies")
-            conditions: dict[str, int] = {}
-            if after.depends != before.depends:
-                conditions = self._rules.cycle_free(job_id, after.depends)
-            terms = None if after == Terms() else after
-            return msgspec.structs.replace(job.spec, terms=terms), conditions
+            return self._changed_spec(job, fields)
 
         try:
-            found = await self._amended(job_id, change)
+            amended = await self._amend_by_current_records(job_id, change)
         except TermsError as error:
-            return Reply(422, wire.encode({"error": str(error)}))
-        if found is None:
+            return escaped_error_reply(422, str(error))
+        if amended is None:
             return error_reply(404, "no such job")
-        if isinstance(found, Phase):
-            return error_reply(409, f"the job has ended: {PHASES[found]}")
+        if isinstance(amended, Phase):
+            return error_reply(409, f"the job has ended: {PHASES[amended]}")
         with self._model.lock:
-            return Reply(200, wire.encode(found.spec.terms or Terms()))
+            return Reply(200, wire.encode(amended.spec.terms or Terms()))
+
+    async def _unknown_dependency(self, depends: list[Dependency]) -> str | None:
+        """The refusal of the first dependency on a job that was never submitted, or None."""
+        for position, dependency in enumerate(depends):
+            job_id = dependency.job
+            with self._model.lock:
+                is_known = job_id in self._model.ended or job_id in self._model.job_index
+            if not is_known and await self._ledger.read(job_id) is None:
+                return f"depends[{position}].job: {job_id} was never submitted"
+        return None
 
-    async def _amended(self, job_id: str, change: Change) -> Job | Phase | None:
-        """As `Ledger.amend`; a refusal rests on records that were read after the question came,
-        since another node may have told of newer terms."""
+    def _changed_spec(
+        self, job: Job, fields: dict[str, object]
+    ) -> tuple[Submission, dict[str, int]]:
+        """The job's description with changed terms, and the versions that it rests on.
+
+        Raises TermsError if the terms contradict each other or the job.
+        """
+        before = job.spec.terms or Terms()
+        after = msgspec.structs.replace(before, **fields)
+        if after.throttle is not None and job.is_gang:
+            raise TermsError("throttle: a gang's tasks run together or not at all")
+        if after.any and not after.depends:
+            raise TermsError("any: there are no dependencies")
+        conditions: dict[str, int] = {}
+        if after.depends != before.depends:
+            conditions = self._rules.cycle_free(job.id, after.depends)
+        terms = None if after == Terms() else after
+        return msgspec.structs.replace(job.spec, terms=terms), conditions
+
+    async def _amend_by_current_records(self, job_id: str, change: Change) -> Job | Phase | None:
+        """As `Ledger.amend`; a refusal rests on records that were read after the request came,
+        since another controller may have told the client of newer terms."""
         read: set[str] = set()
         while True:
             try:
@@ -138,14 +177,14 @@
                 unread = sorted({job_id, *error.jobs} - read)
                 if not unread:
                     raise
-            for name in unread:
-                await self._ledger.read(name)
+            for unread_id in unread:
+                await self._ledger.read(unread_id)
             read.update(unread)
 
     # ---- reading ----
 
     def details(self, job: Job) -> Reply:
-        """An open job whole."""
+        """All that is known of an open job."""
         with self._model.lock:
             running = job.running()
             answer = wire.Details(
@@ -162,13 +201,13 @@
         return Reply(200, wire.encode(answer))
 
     def machines(self) -> Reply:
-        """Machines by type, zone, kind and state, as the records show them to any controller."""
+        """Machines by type, zone, spot or not, and state, as the stored records show them."""
         rows: dict[tuple[str, str, bool, str], list[Machine]] = {}
         with self._model.lock:
             for machine in self._model.machines.values():
                 key = (machine.type, machine.zone, machine.spot, _state(machine))
                 rows.setdefault(key, []).append(machine)
-            found = [
+            answer = [
                 wire.MachineRow(
                     *key,
                     len(machines),
@@ -178,23 +217,25 @@
                 )
                 for key, machines in sorted(rows.items())
             ]
-        return Reply(200, wire.encode(found))
+        return Reply(200, wire.encode(answer))
 
 
 def _state(machine: Machine) -> str:
+    """A machine's state in the terms of batch clients."""
     if machine.dropped or machine.draining or machine.lost:
         return "drained"
     used = machine.planned_use()
     if not machine.attempts:
-        # Only the owner of its share hears it.
+        # Only the owner of its shard gets its heartbeats.
         return "idle" if machine.incarnation or machine.listed_up or machine.address else "booting"
     return "allocated" if used.cpus >= machine.total.cpus - SLACK else "mixed"
 
 
-def _given_fields(wanted: wire.Amendment) -> dict[str, object]:
-    values = {name: getattr(wanted, name) for name in wanted.__struct_fields__}
+def _given_fields(amendment: wire.Amendment) -> dict[str, object]:
+    """The terms that an amendment names, also those set to null."""
+    values = {name: getattr(amendment, name) for name in amendment.__struct_fields__}
     return {name: value for name, value in values.items() if value is not msgspec.UNSET}
 
 
 def _bad_request(error: Exception) -> Reply:
-    return Reply(400, wire.encode({"error": str(error)[:300]}))
+    return escaped_error_reply(400, str(error)[:MAX_ERROR_LENGTH])
--- a/badgerseam/api/classes.py
+++ b/badgerseam/api/classes.py
@@ -1,9 +1,10 @@
-"""What operators ask of priority classes: which are in force, who disagrees; and setting others."""
+"""Priority classes as operators see them: those in force, who disagrees, and setting others."""
 
 from __future__ import annotations
 
 import msgspec
 
+from badgerseam.api.replies import escaped_error_reply, starting_reply
 from badgerseam.classes.class_record import ClassRecordKeeper
 from badgerseam.classes.rules import ClassRules
 from badgerseam.classes.table import to_options
@@ -14,15 +15,14 @@
 from badgerseam.wire import classes as wire
 
 CLASSES = "/classes"
-RETRY_S = 1
 
 
 class ClassesApi:
     """Answers `/classes`."""
 
-    def __init__(self, model: Model, keeper: ClassRecordKeeper, rules: ClassRules) -> None:
+    def __init__(self, model: Model, record_keeper: ClassRecordKeeper, rules: ClassRules) -> None:
         self._model = model
-        self._keeper = keeper
+        self._record_keeper = record_keeper
         self._rules = rules
 
     async def handle(self, method: str, body: bytes) -> Reply:
@@ -30,29 +30,29 @@
         if method not in ("GET", "POST"):
             return error_reply(405, "GET or POST only")
         if not self._model.loaded:
-            return error_reply(503, "starting", RETRY_S)
+            return starting_reply()
         return self.view() if method == "GET" else await self._set(body)
 
     async def _set(self, body: bytes) -> Reply:
         try:
             options = wire.wish_decoder.decode(body)
         except msgspec.DecodeError as error:
-            return Reply(400, wire.encode({"error": str(error)}))
-        wrong = check(options, self._model.team_index)
-        if wrong:
-            return Reply(422, wire.encode({"error": "; ".join(wrong)}))
+            return escaped_error_reply(400, str(error))
+        errors = check(options, self._model.team_index)
+        if errors:
+            return escaped_error_reply(422, "; ".join(errors))
         try:
-            found = await self._keeper.set(options)
+            objections = await self._record_keeper.set(options)
         except ConditionFailedError:
             return error_reply(409, "a controller or the classes changed meanwhile: try again")
-        if found:
-            listed = "; ".join(f"{entry.node} {entry.reason}" for entry in found)
-            return Reply(409, wire.encode({"error": listed}))
+        if objections:
+            listed = "; ".join(f"{entry.node} {entry.reason}" for entry in objections)
+            return escaped_error_reply(409, listed)
         return self.view()
 
     def view(self) -> Reply:
         """The classes in force, as this controller's replica shows them."""
-        model, keeper, rules = self._model, self._keeper, self._rules
+        model, keeper, rules = self._model, self._record_keeper, self._rules
         with model.lock:
             record, revision = model.classes or (None, 0)
             view = wire.ClassesView(
--- a/badgerseam/api/explain.py
+++ b/badgerseam/api/explain.py
@@ -1,4 +1,4 @@
-"""What users ask about waiting: why one job waits, and the list of all open jobs."""
+"""Why one job waits, and the list of all open jobs."""
 
 from __future__ import annotations
 
@@ -7,88 +7,108 @@
 import math
 
 from badgerseam.api.lists import BadQueryError, lines_reply, read_filters
+from badgerseam.api.replies import RETRY_AFTER_S, starting_reply
 from badgerseam.explain.explainer import Explainer
 from badgerseam.explain.reasons import TERMS
 from badgerseam.http.budget import RateBudget
 from badgerseam.http.server import Reply, error_reply
-from badgerseam.model.job import Job
+from badgerseam.model.job import Job, Phase
 from badgerseam.model.model import Model
 from badgerseam.settings import ExplainOptions
 from badgerseam.wire.explain import Code, QueueLine, Why, encode
 from badgerseam.wire.users import Terms
 
-RETRY_S = 1
-LINES_A_QUESTION = 50
+QUEUE = "/queue"
+RATE_BURST_S = 2.0
+"""Seconds of the rate of questions that may be used at once."""
+LINES_PER_QUESTION = 50
 """Lines with reasons that count as one question."""
-PLAIN_LINES_A_QUESTION = 500
-"""Lines without reasons that do: they need no survey."""
+PLAIN_LINES_PER_QUESTION = 500
+"""Lines without reasons that count as one question: they need no survey."""
 NO_TERMS = Terms()
+TRUE = ("1", "true")
 FILTERS = ("after", "limit", "team", "class", "reasons", "waiting")
 
 
 class ExplainApi:
-    """Admits questions at a set rate, so that no number of them hurts what the service is for."""
+    """Admits questions at a limited rate, so that no number of them delays leases or plans."""
 
     def __init__(self, model: Model, explainer: Explainer, options: ExplainOptions) -> None:
         self._model = model
         self._explainer = explainer
         self._rules = explainer.rules
-        self._door = RateBudget(model.clock, options.questions_per_s, 2.0)
+        self._rate = RateBudget(model.clock, options.questions_per_s, RATE_BURST_S)
 
     def rate_limit_reply(self, questions: float = 1.0) -> Reply | None:
-        """The refusal of one question too many, or None."""
-        if self._door.take(questions):
+        """The refusal if so many questions exceed the rate, or None; admitted ones are counted."""
+        if self._rate.take(questions):
             return None
-        wait_s = max(1, math.ceil(self._door.wait_s(questions)))
+        wait_s = max(1, math.ceil(self._rate.wait_s(questions)))
         return error_reply(429, "too many questions", wait_s)
 
     async def why(self, job: Job) -> Reply:
         """Why an open job waits; the caller has confirmed that it is open."""
         answer = await self._explainer.ask(job)
         if answer is None:
-            return error_reply(503, "nobody can vouch for an answer now", RETRY_S)
+            return error_reply(503, "nobody can vouch for an answer now", RETRY_AFTER_S)
         return Reply(200, encode(answer))
 
+    async def handle_queue(self, method: str, query: str) -> Reply:
+        """A request for `/queue`."""
+        if method != "GET":
+            return error_reply(405, "GET only")
+        if not self._model.loaded:
+            return starting_reply()
+        return await self.queue(query)
+
     async def queue(self, query: str) -> Reply:
         """Open jobs in the order of their ids, a line each."""
         try:
             filters, limit = read_filters(query, FILTERS)
-        except BadQueryError as bad:
-            return bad.reply
-        reasons = filters.get("reasons") in ("1", "true")
-        each = LINES_A_QUESTION if reasons else PLAIN_LINES_A_QUESTION
-        refusal = self.rate_limit_reply(limit / each)
-        if refusal is not None:
-            return refusal
+        except BadQueryError as refusal:
+            return refusal.reply
+        with_reasons = filters.get("reasons") in TRUE
+        lines_per_question = LINES_PER_QUESTION if with_reasons else PLAIN_LINES_PER_QUESTION
+        rate_refusal = self.rate_limit_reply(limit / lines_per_question)
+        if rate_refusal is not None:
+            return rate_refusal
         model = self._model
         with model.lock:
-            jobs = [job for shard in model.open_jobs for job in shard.values() if _open(job)]
+            jobs = [job for shard in model.open_jobs for job in shard.values() if _is_open(job)]
             jobs = [job for job in jobs if _matches(job, filters)]
             jobs = heapq.nsmallest(limit, jobs, key=lambda job: job.id)
-        answers: dict[str, Why] = {}
-        if reasons:
-            by_shard: dict[int, list[str]] = {}
-            for job in jobs:
-                by_shard.setdefault(job.shard, []).append(job.id)
-            found = await asyncio.gather(
-                *(self._explainer.ask_all(shard, ids) for shard, ids in by_shard.items())
-            )
-            answers = {answer.id: answer for part in found for answer in part}
+        answers = await self._answers(jobs) if with_reasons else {}
         with model.lock:
             return lines_reply(encode(self._line(job, answers.get(job.id))) for job in jobs)
 
-    def _hold_term(self, job: Job) -> list[Code]:
+    async def _answers(self, jobs: list[Job]) -> dict[str, Why]:
+        """Why jobs wait, by job; those that nobody can vouch for in time are missing."""
+        by_shard: dict[int, list[str]] = {}
+        for job in jobs:
+            by_shard.setdefault(job.shard, []).append(job.id)
+        found = await asyncio.gather(
+            *(self._explainer.ask_all(shard, ids) for shard, ids in by_shard.items())
+        )
+        return {answer.id: answer for answers in found for answer in answers}
+
+    def _unmet_terms(self, job: Job) -> list[Code]:
         """The term that holds a job back, which needs no survey to be known."""
         if job.spec.terms is None or job.waiting() <= 0:
             return []
-        held = self._rules.hold_reason(job)
-        return [] if held is None else [TERMS[held]]
+        hold_reason = self._rules.hold_reason(job)
+        return [] if hold_reason is None else [TERMS[hold_reason]]
 
     def _line(self, job: Job, answer: Why | None) -> QueueLine:
+        """A job's line; callers hold the model's lock."""
         spec = job.spec
         terms = spec.terms or NO_TERMS
         running = job.running()
-        reasons = [] if answer is None else [r for group in answer.groups for r in group.reasons]
+        reasons = (
+            []
+            if answer is None
+            else [reason for group in answer.groups for reason in group.reasons]
+        )
+        binding = list(dict.fromkeys(reason.code for reason in reasons if reason.binding))
         return QueueLine(
             job.id,
             "running" if running else "pending",
@@ -100,7 +120,7 @@
             running,
             job.finished,
             round(max(0.0, self._model.clock.wall() - job.submitted), 1),
-            list(dict.fromkeys(r.code for r in reasons if r.binding)) or self._hold_term(job),
+            binding or self._unmet_terms(job),
             reasons[0].text if reasons else None,
             terms.name,
             terms.user,
@@ -118,8 +138,8 @@
         )
 
 
-def _open(job: Job) -> bool:
-    return job.phase == 0
+def _is_open(job: Job) -> bool:
+    return job.phase == Phase.OPEN
 
 
 def _matches(job: Job, filters: dict[str, str]) -> bool:
@@ -127,5 +147,5 @@
         job.id > filters.get("after", "")
         and filters.get("team", job.spec.team) == job.spec.team
         and filters.get("class", job.spec.job_class) == job.spec.job_class
-        and (filters.get("waiting") not in ("1", "true") or job.waiting() > 0)
+        and (filters.get("waiting") not in TRUE or job.waiting() > 0)
     )
--- a/badgerseam/api/lists.py
+++ b/badgerseam/api/lists.py
@@ -1,39 +1,43 @@
-"""What lists have in common: filters in a query, lines in an answer."""
+"""Lists of the user API: filters in a query, one JSON object a line in the answer."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 from urllib.parse import parse_qsl
 
-import msgspec
-
+from badgerseam.api.replies import escaped_error_reply
 from badgerseam.errors import BadgerseamError
 from badgerseam.http.server import Reply
 
 NDJSON = "application/x-ndjson"
+DEFAULT_LINES = "100"
 MAX_LINES = 500
+"""Most lines of one answer."""
 
 
 class BadQueryError(BadgerseamError):
-    """A query that cannot be answered; `reply` says why."""
+    """A query that cannot be answered; `reply` is the refusal that the client gets."""
 
     def __init__(self, text: str) -> None:
         super().__init__(text)
-        self.reply = Reply(400, msgspec.json.encode({"error": text}))
+        self.reply = escaped_error_reply(400, text)
 
 
 def read_filters(query: str, known: Sequence[str]) -> tuple[dict[str, str], int]:
-    """The filters of a query, and how many lines are wanted; BadQuery names what is wrong."""
+    """The filters of a query, and the most lines that its answer may have.
+
+    Raises BadQueryError for a filter that is not among `known`, or a limit out of range.
+    """
     filters = dict(parse_qsl(query, keep_blank_values=True))
     unknown = sorted(filters.keys() - set(known))
     if unknown:
         raise BadQueryError(f"unknown: {', '.join(unknown)[:100]}; known are {', '.join(known)}")
-    limit = filters.get("limit", "100")
+    limit = filters.get("limit", DEFAULT_LINES)
     if not limit.isdecimal() or not 1 <= int(limit) <= MAX_LINES:
         raise BadQueryError(f"limit: a number from 1 to {MAX_LINES}")
     return filters, int(limit)
 
 
 def lines_reply(lines: Iterable[bytes]) -> Reply:
-    """One JSON object a line."""
+    """The reply with one JSON object a line."""
     return Reply(200, b"".join(line + b"\n" for line in lines), content_type=NDJSON)
--- a/badgerseam/api/rollout.py
+++ b/badgerseam/api/rollout.py
@@ -1,9 +1,14 @@
-"""What operators ask of a rollout: how it stands, which level they want, who is to leave."""
+"""Rollouts as operators see them: their state, the target level, draining a controller."""
 
 from __future__ import annotations
 
 import msgspec
 
+from badgerseam.api.replies import (
+    escaped_error_reply,
+    no_such_path_reply,
+    starting_reply,
+)
 from badgerseam.cluster.availability import UnavailableReason
 from badgerseam.cluster.membership import Membership
 from badgerseam.http.server import Reply, error_reply
@@ -17,7 +22,6 @@
 from badgerseam.workers.lease_expiry import RECENT_INTERVALS
 
 ROLLOUT = "/rollout"
-RETRY_S = 1
 
 
 class RolloutApi:
@@ -27,24 +31,24 @@
         self,
         model: Model,
         member: Membership,
-        raising: LevelUpgrade,
+        level_upgrade: LevelUpgrade,
         handover: Handover,
         refresh: PageRefresh,
-        carrying: RecordMigration,
+        migration: RecordMigration,
     ) -> None:
         self._model = model
         self._member = member
-        self._raising = raising
+        self._level_upgrade = level_upgrade
         self._handover = handover
         self._refresh = refresh
-        self._carrying = carrying
-        self._started = model.clock.now()
+        self._migration = migration
+        self._started_at = model.clock.now()
 
     async def handle(self, method: str, path: str, body: bytes) -> Reply:
         """A request below `/rollout` that changes something."""
         action = path[len(ROLLOUT) + 1 :]
         if action not in ("target", "leave", "return"):
-            return error_reply(404, "no such path")
+            return no_such_path_reply()
         if method != "POST":
             return error_reply(405, "POST only")
         if action == "target":
@@ -59,87 +63,98 @@
 
     async def _target(self, body: bytes) -> Reply:
         try:
-            wish = wire.level_request_decoder.decode(body)
+            request = wire.level_request_decoder.decode(body)
         except msgspec.DecodeError as error:
-            return Reply(400, wire.encode({"error": str(error)}))
-        model, level = self._model, wish.level
+            return escaped_error_reply(400, str(error))
+        model, level = self._model, request.level
         if not model.loaded:
-            return error_reply(503, "starting", RETRY_S)
-        if level is not None:
-            if not model.program.supports(level):
-                least, most = model.program.least, model.program.most
-                return error_reply(409, f"level: this program reads {least} to {most}")
-            for step in range(model.level.level, level, -1):
-                if not model.program.can_lower_from(step):
-                    return error_reply(409, f"level: level {step} cannot be undone")
+            return starting_reply()
+        refusal = None if level is None else self._level_refusal(level)
+        if refusal is not None:
+            return refusal
         try:
-            await self._raising.set_target(level, self._member.node)
+            await self._level_upgrade.set_target(level, self._member.node)
         except ConditionFailedError:
             return error_reply(409, "another operator was faster: look at the status")
         return self.view()
 
+    def _level_refusal(self, level: int) -> Reply | None:
+        """The refusal of a level that the site cannot be brought to, or None."""
+        model = self._model
+        if not model.program.supports(level):
+            least, most = model.program.least, model.program.most
+            return error_reply(409, f"level: this program reads {least} to {most}")
+        for step in range(model.level.level, level, -1):
+            if not model.program.can_lower_from(step):
+                return error_reply(409, f"level: level {step} cannot be undone")
+        return None
+
     def view(self) -> Reply:
-        """How the rollout stands."""
-        model, member, raising = self._model, self._member, self._raising
+        """The state of the rollout, as this controller's replica shows it."""
+        model, member, level_upgrade = self._model, self._member, self._level_upgrade
         with model.lock:
-            following = raising.next_level()
+            next_level = level_upgrade.next_level()
             leader = model.leader_claim
-            held = {shard.index: shard.claim.record.node for shard in model.shards if shard.claim}
+            owners = {shard.index: shard.claim.record.node for shard in model.shards if shard.claim}
             view = wire.View(
                 model.level.level,
                 model.program.name(model.level.level),
                 model.program.behaviours(model.level.level),
                 None if model.target is None else model.target[0].level,
-                following,
-                [] if following is None else raising.obstacles(following),
+                next_level,
+                [] if next_level is None else level_upgrade.obstacles(next_level),
                 [shard.index for shard in model.shards if shard.claim is None],
                 None if leader is None else leader.record.node,
-                [self._controller(name, held) for name in member.order],
+                [self._controller(name, owners) for name in member.order],
                 self._own(),
             )
         return Reply(200, wire.encode(view))
 
-    def _controller(self, name: str, held: dict[int, str]) -> wire.ControllerView:
+    def _controller(self, name: str, owners: dict[int, str]) -> wire.ControllerView:
+        """A controller of the site; `owners`: the owner of each shard that has one."""
         model = self._model
-        present = model.controllers.get(name)
-        leads = model.leader_claim is not None and model.leader_claim.record.node == name
-        shards = sorted(shard for shard, node in held.items() if node == name)
-        if present is None:
-            return wire.ControllerView(name, "missing", None, None, "", shards, leads)
-        claim = present.record
-        state = "aside" if claim.unavailable else "acting"
+        controller = model.controllers.get(name)
+        is_leader = model.leader_claim is not None and model.leader_claim.record.node == name
+        shards = sorted(shard for shard, node in owners.items() if node == name)
+        if controller is None:
+            return wire.ControllerView(name, "missing", None, None, "", shards, is_leader)
+        record = controller.record
+        state = "aside" if record.unavailable else "acting"
         return wire.ControllerView(
-            name, state, claim.min_level, claim.max_level, claim.program, shards, leads
+            name, state, record.min_level, record.max_level, record.program, shards, is_leader
         )
 
+    def _own_state(self) -> str:
+        """The state of this controller, in the words of the command line."""
+        if self._member.is_unavailable(UnavailableReason.UNSUPPORTED_LEVEL):
+            return "unfit"
+        if not self._model.loaded:
+            return "starting"
+        if self._handover.is_drained:
+            return "left"
+        return "leaving" if self._handover.is_draining else "acting"
+
     def _own(self) -> wire.OwnView:
-        model, member = self._model, self._member
+        """This controller, with what only it knows."""
+        model = self._model
         now = model.clock.now()
-        if member.is_unavailable(UnavailableReason.UNSUPPORTED_LEVEL):
-            state = "unfit"
-        elif not model.loaded:
-            state = "starting"
-        elif self._handover.is_drained:
-            state = "left"
-        else:
-            state = "leaving" if self._handover.is_draining else "acting"
-        recent = now - RECENT_INTERVALS * model.settings.params.workers.report_s
-        machines = heard = 0
+        recent_since = now - RECENT_INTERVALS * model.settings.params.workers.report_s
+        machines = machines_heard_from = 0
         for shard in model.shards:
             if shard.owned:
                 machines += len(model.shard_machines[shard.index])
-                heard += sum(
-                    m.last_heartbeat_at >= recent
-                    for m in model.shard_machines[shard.index].values()
+                machines_heard_from += sum(
+                    machine.last_heartbeat_at >= recent_since
+                    for machine in model.shard_machines[shard.index].values()
                 )
         return wire.OwnView(
-            member.node,
-            state,
+            self._member.node,
+            self._own_state(),
             self._handover.may_stop,
             model.is_up_to_date,
             machines,
-            heard,
-            round(now - self._started, 1),
+            machines_heard_from,
+            round(now - self._started_at, 1),
             self._refresh.view(),
-            self._carrying.view(),
+            self._migration.view(),
         )
--- a/tests/api/test_user_api.py
+++ b/tests/api/test_user_api.py
@@ -9,8 +9,9 @@
 import pytest
 
 from badgerseam.api.batch import BatchApi
+from badgerseam.api.confirmations import VersionConfirmations
 from badgerseam.api.explain import ExplainApi
-from badgerseam.api.users import UserApi, VersionConfirmations
+from badgerseam.api.users import UserApi
 from badgerseam.http.client import Response
 from badgerseam.http.server import Reply
 from badgerseam.settings import StateParams, Team
--- a/tests/fault_interactions/test_read_after_write.py
+++ b/tests/fault_interactions/test_read_after_write.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from badgerseam.api.users import VersionConfirmations
+from badgerseam.api.confirmations import VersionConfirmations
 from badgerseam.http.client import Response
 from badgerseam.lab.services import WATCH
 from badgerseam.model.keys import job_key
--- a/tests/model/test_job_retention.py
+++ b/tests/model/test_job_retention.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from badgerseam.api.users import VersionConfirmations
+from badgerseam.api.confirmations import VersionConfirmations
 from badgerseam.http.client import HttpClient, NoResponseError, Response
 from badgerseam.settings import StateParams
 from badgerseam.store.client import StateClient, StateUnavailableError
