--- a/badgerseam/api/explain.py
+++ b/badgerseam/api/explain.py
@@ -9,7 +9,7 @@
 from badgerseam.api.lists import BadQueryError, lines_reply, read_filters
 from badgerseam.api.replies import RETRY_AFTER_S, starting_reply
 from badgerseam.explain.explainer import Explainer
-from badgerseam.explain.reasons import TERMS
+from badgerseam.explain.held_back import TERMS
 from badgerseam.http.budget import RateBudget
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.job import Job, Phase
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -1,4 +1,4 @@
-"""Answers by the controller that plans for a job, and the way of a question to it."""
+"""Answers by the controller that plans for a job, and forwarding of questions to it."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from msgspec.structs import replace
 
 from badgerseam.cluster.membership import Membership
+from badgerseam.explain.context import Context
 from badgerseam.explain.history import ReasonHistory
-from badgerseam.explain.reasons import Context, ahead, groups
+from badgerseam.explain.reasons import ahead, groups
 from badgerseam.explain.supply import AskLeader, LeaderCloudView
 from badgerseam.explain.surveys import NotOwnerError, Survey, Surveys
 from badgerseam.model.job import Job
@@ -22,20 +23,21 @@
 
 log = logging.getLogger("badgerseam.explain")
 
-PLANS_S = 5.0
-"""An owner whose lease was not confirmed for so long plans nothing, and says nothing."""
-ASK_S = 1.3
-"""What an owner gets to answer: users wait 2 s, and the way to them takes a part of it."""
-AGAIN_S = 0.1
-LOOK_S = 0.5
-"""An answer from an older survey is no look at the job."""
+MAX_LEASE_AGE_S = 5.0
+"""An owner whose lease was not confirmed for so long plans nothing, and answers nothing."""
+ANSWER_TIMEOUT_S = 1.3
+"""Time limit of an owner's answer: users wait 2 s, of which their own requests take a part."""
+MIN_ANSWER_TIMEOUT_S = 0.1
+RETRY_INTERVAL_S = 0.1
+MAX_OBSERVATION_AGE_S = 0.5
+"""An answer from an older survey is no observation of the job."""
 
 AskOwner = Callable[[str, Question, float], Awaitable[list[Why] | None]]
 """Asks another controller, within so many seconds; None if it cannot or does not answer."""
 
 
 class Explainer:
-    """Answers for shares that are owned; passes on what concerns others."""
+    """Answers for shards that this controller owns; forwards questions about others."""
 
     def __init__(
         self,
@@ -65,8 +67,11 @@
     # ---- as the owner ----
 
     async def local(self, shard_index: int, ids: list[str]) -> list[Why]:
-        """Answers about jobs of a share that this controller plans for; NotOwner if it does not,
-        or cannot vouch for it. Jobs that it has not read yet are left out."""
+        """Answers about jobs of a shard that this controller plans for. Jobs that it has not read
+        yet are left out.
+
+        Raises NotOwnerError if it does not plan for the shard, or cannot vouch for its answers.
+        """
         model = self._model
         shard = model.shards[shard_index]
         self._check_current(shard)
@@ -85,22 +90,24 @@
             return [self._answer(shard, job, survey) for job in jobs]
 
     async def for_sibling(self, shard_index: int, ids: list[str]) -> list[Why] | None:
-        """As `local`; None instead of NotOwner."""
+        """The answers for a peer: as `local`, but None in place of NotOwnerError."""
         try:
             return await self.local(shard_index, ids)
         except NotOwnerError:
             return None
 
     def _check_current(self, shard: Shard) -> None:
+        """Raise NotOwnerError unless this controller may act for the shard now."""
         if (
             not shard.owned
             or shard.releasing
             or not self._member.holds_lease_for(shard)
-            or not self._member.lease_confirmed_within(PLANS_S)
+            or not self._member.lease_confirmed_within(MAX_LEASE_AGE_S)
         ):
             raise NotOwnerError(str(shard.index))
 
     def _answer(self, shard: Shard, job: Job, survey: Survey) -> Why:
+        """The answer about one job; callers hold the model's lock."""
         now = self._clock.now()
         context = Context(
             self._model,
@@ -111,14 +118,16 @@
             now - self._member.confirmed_at,
             self.rules,
         )
-        found = groups(context)
-        if now - survey.at < LOOK_S:
-            self.history.observe(job.id, [r.code for g in found for r in g.reasons], now)
+        task_groups = groups(context)
+        if now - survey.at < MAX_OBSERVATION_AGE_S:
+            self.history.observe(
+                job.id, [reason.code for group in task_groups for reason in group.reasons], now
+            )
         since = self.history.since_s(job.id, now)
         return Why(
             job.id,
             "running" if job.running() else "pending",
-            [_dated(group, since) for group in found],
+            [_dated(group, since) for group in task_groups],
             ahead(context),
             self._member.node,
             survey.revision,
@@ -129,12 +138,12 @@
 
     @property
     def samples(self) -> bool:
-        """Whether the operator wants looks that nobody has asked for."""
+        """Whether the options ask for surveys at an interval, without questions."""
         return self._options.sample_s > 0
 
     async def keep_samples(self) -> None:
-        """Look at all that waits, at the interval that the operator has set, so that a question
-        asked later finds since when its reasons hold."""
+        """Survey all that waits at the interval of the options, so that a later question finds
+        since when its reasons hold. Runs until cancelled."""
         while True:
             await asyncio.sleep(self._options.sample_s)
             for shard in self._model.shards:
@@ -143,56 +152,60 @@
                     if shard.owned and ids:
                         await self.local(shard.index, ids)
                 except NotOwnerError:
-                    log.debug("share %d: given up while it was looked at", shard.index)
+                    log.debug("survey abandoned shard=%d reason=not_owner", shard.index)
 
     # ---- for any job ----
 
     async def ask(self, job: Job) -> Why | None:
-        """The answer about an open job from whoever plans for it; None if nobody can vouch for
-        one in time."""
-        found = await self.ask_all(job.shard, [job.id])
-        return found[0] if found else None
+        """The answer about an open job from the controller that plans for it; None if none can
+        vouch for one in time."""
+        answers = await self.ask_all(job.shard, [job.id])
+        return answers[0] if answers else None
 
     async def ask_all(self, shard_index: int, ids: list[str]) -> list[Why]:
-        """Answers about jobs of one share; those that nobody can vouch for in time are missing."""
+        """Answers about jobs of one shard; those that no controller can vouch for in time are
+        missing."""
         try:
-            async with asyncio.timeout(ASK_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return await self._route(shard_index, ids)
         except TimeoutError:
             return []
 
     async def _route(self, shard_index: int, ids: list[str]) -> list[Why]:
-        model = self._model
-        shard = model.shards[shard_index]
-        deadline = self._clock.now() + ASK_S
+        """Ask the shard's owner until it answers, whoever that is meanwhile."""
+        shard = self._model.shards[shard_index]
+        deadline = self._clock.now() + ANSWER_TIMEOUT_S
         while True:
-            held = shard.claim
-            if held is None and self._member.lease_confirmed_within(PLANS_S):
+            claim = shard.claim
+            if claim is None and self._member.lease_confirmed_within(MAX_LEASE_AGE_S):
                 return [self._no_owner(shard, job_id) for job_id in ids]
             answers: list[Why] | None = None
-            if held is None:
-                # Cut off ourselves: somebody may have claimed it long ago.
+            if claim is None:
+                # This controller is cut off: another one may have claimed the shard long ago.
                 pass
-            elif held.record.node == self._member.node:
+            elif claim.record.node == self._member.node:
                 try:
                     answers = await self.local(shard_index, ids)
                 except NotOwnerError:
-                    log.debug("share %d: not acted for yet", shard_index)
+                    log.debug("answer deferred shard=%d reason=not_owner", shard_index)
             else:
-                left = max(0.1, deadline - self._clock.now())
-                answers = await self._ask_owner(held.record.node, Question(shard_index, ids), left)
+                timeout_s = max(MIN_ANSWER_TIMEOUT_S, deadline - self._clock.now())
+                answers = await self._ask_owner(
+                    claim.record.node, Question(shard_index, ids), timeout_s
+                )
             if answers:
                 return answers
-            # It has just been passed on, or its owner has not read the job yet.
-            await asyncio.sleep(AGAIN_S)
+            # The shard has just been transferred, or its owner has not read the job yet.
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     def _no_owner(self, shard: Shard, job_id: str) -> Why:
-        vacant = self._clock.now() - shard.unowned_since
+        """The answer about a job whose shard no controller owns."""
+        unowned_s = self._clock.now() - shard.unowned_since
         reason = Reason(
             "no_owner",
             "No controller acts for the share of its team now; one takes it over.",
             binding=True,
-            since_s=round(vacant, 1) if shard.unowned_since else None,
+            since_s=round(unowned_s, 1) if shard.unowned_since else None,
             change="A controller has claimed the share and has read what is in it.",
         )
         with self._model.lock:
@@ -209,7 +222,7 @@
 
 
 def _dated(group: Group, since: dict[Code, float]) -> Group:
-    """The group with the time that each reason has held at least, where none is known better."""
+    """The group with the time for which each reason has held at least, unless a reason has one."""
     reasons = [
         reason
         if reason.since_s is not None
--- a/badgerseam/explain/members.py
+++ b/badgerseam/explain/members.py
@@ -10,37 +10,38 @@
 from badgerseam.wire.explain import Reason
 from badgerseam.wire.state import StoredReplica
 
-KNOWN = frozenset(ReplicaPhase)
+KNOWN_PHASES = frozenset(ReplicaPhase)
 
 
 def replica_reason(job: Job, finding: Finding | None) -> Reason:
-    """The reason, of a job whose replicas span machines; without a finding none of them asks for
-    room now."""
+    """The reason of a job whose replicas span machines; without a finding none of them requests
+    capacity now."""
     phases = Counter(
         ReplicaPhase(note.phase)
         for note in job.notes.values()
-        if isinstance(note, StoredReplica) and note.phase in KNOWN
+        if isinstance(note, StoredReplica) and note.phase in KNOWN_PHASES
     )
-    standing = ", ".join(f"{count} {NAMES[phase]}" for phase, count in sorted(phases.items()))
-    standing = f" (its replicas: {standing})" if standing else ""
-    span = None if finding is None else finding.request.gang_rules
-    if finding is None or span is None:
+    phase_counts = ", ".join(f"{count} {NAMES[phase]}" for phase, count in sorted(phases.items()))
+    phase_counts = f" (its replicas: {phase_counts})" if phase_counts else ""
+    gang_rules = None if finding is None else finding.request.gang_rules
+    if finding is None or gang_rules is None:
         return Reason(
             "replica",
-            f"Its replicas start and end whole{standing}: its tasks wait for other members.",
+            f"Its replicas start and end whole{phase_counts}: its tasks wait for other members.",
             binding=True,
             change="The other members have left their machines, or the pause is over after a start "
             "that came to nothing.",
         )
-    if span.reserved:
+    if gang_rules.reserved:
         text = (
-            f"Replica {span.number} is degraded: {finding.request.count} of its {span.size} tasks "
-            f"wait for room beside the others, and {finding.reached} would find it{standing}."
+            f"Replica {gang_rules.number} is degraded: {finding.request.count} of its "
+            f"{gang_rules.size} tasks wait for room beside the others, and "
+            f"{finding.reached} would find it{phase_counts}."
         )
     else:
         text = (
-            f"Replica {span.number} waits for room as a whole: {finding.reached} of its "
-            f"{span.size} tasks would find it{standing}."
+            f"Replica {gang_rules.number} waits for room as a whole: {finding.reached} of its "
+            f"{gang_rules.size} tasks would find it{phase_counts}."
         )
     return Reason(
         "replica",
--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -1,8 +1,9 @@
-"""What is on its way for a job: machines that boot, rentals, and what the cloud refuses."""
+"""Supply of machines: out of use, booting, requested of the cloud, or refused by it."""
 
 from __future__ import annotations
 
 import asyncio
+import math
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
@@ -18,11 +19,13 @@
 from badgerseam.sched.tentative_state import failed_job_predicates
 from badgerseam.wire.explain import CloudView, Reason
 
-VIEW_S = 1.0
-"""How long the leader's word about the cloud is used."""
+VIEW_TTL_S = 1.0
+"""How long the leader's view of the cloud is used before it is requested again."""
+MAX_MACHINES_NAMED = 5
+MAX_OFFERS_NAMED = 8
 
 AskLeader = Callable[[], Awaitable[CloudView | None]]
-"""The leader's view of the cloud, or None if it cannot be asked."""
+"""Requests the leader's view of the cloud, or None if it cannot be asked."""
 
 OUT_OF_USE = {
     "released": "given back",
@@ -37,76 +40,87 @@
 
 
 class LeaderCloudView:
-    """The leader's view of the cloud, asked for at most once in VIEW_S however many want it."""
+    """The leader's view of the cloud, asked for at most once in VIEW_TTL_S for all questions."""
 
     def __init__(self, clock: Clock, ask: AskLeader) -> None:
         self._clock = clock
         self._ask = ask
         self._view: CloudView | None = None
-        self._at = -1e9
-        self._asking: asyncio.Task[None] | None = None
+        self._renewed_at = -math.inf
+        self._renewal: asyncio.Task[None] | None = None
 
     async def get(self) -> CloudView | None:
         """The view, or None if the leader cannot be asked now."""
-        if self._clock.now() - self._at > VIEW_S:
-            if self._asking is None:
-                self._asking = asyncio.ensure_future(self._renew())
-            await asyncio.shield(self._asking)
+        if self._clock.now() - self._renewed_at > VIEW_TTL_S:
+            if self._renewal is None:
+                self._renewal = asyncio.ensure_future(self._renew())
+            await asyncio.shield(self._renewal)
         return self._view
 
     async def _renew(self) -> None:
         try:
             self._view = await self._ask()
-            self._at = self._clock.now()
+            self._renewed_at = self._clock.now()
         finally:
-            self._asking = None
+            self._renewal = None
 
 
 @dataclass(slots=True)
 class Supply:
-    """A share's machines that take no tasks now, and what is on its way to it."""
+    """A shard's machines that take no tasks now, and those on their way to it."""
 
     out_of_use: dict[str, list[Machine]] = field(default_factory=dict)
+    """By the reason, a key of OUT_OF_USE."""
     booting: list[tuple[MachineSnapshot, float]] = field(default_factory=list)
-    """Machines that are not up, as PTS would see them, and in how many seconds they should be."""
-    hires: list[MachineSnapshot] = field(default_factory=list)
-    """Machines that were asked for, without an answer yet."""
+    """Machines that are not up, as a plan would see them, and in how many seconds they should
+    be."""
+    rentals: list[MachineSnapshot] = field(default_factory=list)
+    """Machines requested of the cloud, without an answer yet."""
     cloud: CloudView | None = None
 
 
 def supply_of(model: Model, planner: Planner, shard: Shard, cloud: CloudView | None) -> Supply:
-    """Look at a share's machines once; callers hold the lock."""
+    """The supply of a shard; callers hold the model's lock."""
     result = Supply(cloud=cloud)
     now, wall = model.clock.now(), model.clock.wall()
     for machine in model.shard_machines[shard.index].values():
-        why = planner.unusable_reason(machine, now)
-        if why is None:
+        reason = planner.unusable_reason(machine, now)
+        if reason is None:
             continue
-        entry = model.types.get(machine.type)
-        if why == "not_heard" and not machine.attempts and entry is not None:
-            left = machine.rented_at + SPREAD * entry.boot_s - wall
-            if left > 0:
-                offer = Offer(machine.type, machine.zone, machine.spot)
-                node = virtual_node(model.types, offer, machine.index)
-                if node is not None:
-                    result.booting.append((node, left))
-                    continue
-        result.out_of_use.setdefault(why, []).append(machine)
-    for hire, _ in model.rentals.values():
-        offer = Offer(hire.type, hire.zone, hire.spot)
-        for _ in range(hire.shards.count(shard.index)):
+        booting = _booting(model, machine, wall) if reason == "not_heard" else None
+        if booting is not None:
+            result.booting.append(booting)
+        else:
+            result.out_of_use.setdefault(reason, []).append(machine)
+    for rental, _ in model.rentals.values():
+        offer = Offer(rental.type, rental.zone, rental.spot)
+        for _ in range(rental.shards.count(shard.index)):
             node = virtual_node(model.types, offer, -1)
             if node is not None:
-                result.hires.append(node)
+                result.rentals.append(node)
     return result
 
 
+def _booting(model: Model, machine: Machine, wall: float) -> tuple[MachineSnapshot, float] | None:
+    """A machine that is still within its boot time, as a plan would see it, and in how many
+    seconds it should be up; None of one that is not booting."""
+    machine_type = model.types.get(machine.type)
+    if machine.attempts or machine_type is None:
+        return None
+    left_s = machine.rented_at + SPREAD * machine_type.boot_s - wall
+    if left_s <= 0:
+        return None
+    offer = Offer(machine.type, machine.zone, machine.spot)
+    node = virtual_node(model.types, offer, machine.index)
+    return None if node is None else (node, left_s)
+
+
 def supply_reasons(model: Model, supply: Supply, request: Request) -> list[Reason]:
-    """What is said of machines that could serve a request and are not there, or not in use."""
-    found: list[Reason] = []
+    """The reasons about machines that could serve a request and are not there, or not in use."""
+    reasons: list[Reason] = []
     useful = [left for node, left in supply.booting if _serves(request, node)]
     if useful:
-        found.append(
+        reasons.append(
             Reason(
                 "booting",
                 f"{pluralize(len(useful), 'machine')} that could take its tasks "
@@ -115,35 +129,45 @@
                 expected_s=round(min(useful), 1),
             )
         )
-    asked = sum(_serves(request, node) for node in supply.hires)
-    if asked:
-        found.append(
+    requested = sum(_serves(request, node) for node in supply.rentals)
+    if requested:
+        reasons.append(
             Reason(
                 "renting",
-                f"{pluralize(asked, 'machine')} that could take its tasks "
-                f"{'has' if asked == 1 else 'have'} been asked of the cloud, without an answer "
+                f"{pluralize(requested, 'machine')} that could take its tasks "
+                f"{'has' if requested == 1 else 'have'} been asked of the cloud, without an answer "
                 "yet.",
-                machines=asked,
+                machines=requested,
             )
         )
-    found += _cloud_reasons(model, supply.cloud, request)
-    down = {why: ms for why, ms in supply.out_of_use.items() if why != "released"}
-    if down:
-        names = [m.name for ms in down.values() for m in ms][:5]
-        parts = [f"{len(ms)} {OUT_OF_USE[why]}" for why, ms in sorted(down.items())]
-        found.append(
-            Reason(
-                "out_of_use",
-                f"{pluralize(sum(map(len, down.values())), 'machine')} of its share "
-                f"take no tasks now: {', '.join(parts)}.",
-                machines=sum(map(len, down.values())),
-                who=names,
-            )
+    reasons += _cloud_reasons(model, supply.cloud, request)
+    reasons += _out_of_use_reasons(supply)
+    return reasons
+
+
+def _out_of_use_reasons(supply: Supply) -> list[Reason]:
+    by_reason = {
+        reason: machines for reason, machines in supply.out_of_use.items() if reason != "released"
+    }
+    names = [machine.name for machines in by_reason.values() for machine in machines]
+    if not names:
+        return []
+    parts = [
+        f"{len(machines)} {OUT_OF_USE[reason]}" for reason, machines in sorted(by_reason.items())
+    ]
+    return [
+        Reason(
+            "out_of_use",
+            f"{pluralize(len(names), 'machine')} of its share "
+            f"take no tasks now: {', '.join(parts)}.",
+            machines=len(names),
+            who=names[:MAX_MACHINES_NAMED],
         )
-    return found
+    ]
 
 
 def _serves(request: Request, node: MachineSnapshot) -> bool:
+    """Whether an empty machine would take a task of the request."""
     return request.demand.fits_in(node.total) and not failed_job_predicates(request, node)
 
 
@@ -185,6 +209,6 @@
             who=sorted(
                 f"{offer.type} in {offer.zone}{' (spot)' if offer.spot else ''}"
                 for offer in refused
-            )[:8],
+            )[:MAX_OFFERS_NAMED],
         )
     ]
--- a/badgerseam/explain/surveys.py
+++ b/badgerseam/explain/surveys.py
@@ -1,8 +1,8 @@
-"""Surveys of a share on demand: questions gather, and all get their answer from one walk.
+"""Surveys of a shard on demand: questions are batched, and one walk answers all of a batch.
 
-A walk costs as much as a plan. Its processor time is drawn from an allowance, so that no number
-of questions takes more than a set part of it from leases and plans, and it is done in slices with
-the loop free in between.
+A walk costs as much as a plan. Its processor time is charged to a budget, so that no number of
+questions takes more than a set part of it from leases and plans, and it is done in slices with the
+event loop free in between.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 import time
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from badgerseam.background import BackgroundTasks
 from badgerseam.errors import BadgerseamError
@@ -21,32 +22,47 @@
 from badgerseam.model.state import Shard
 from badgerseam.sched.diagnosis import Finding, survey, without_job_state
 from badgerseam.sched.planner import Planner
+from badgerseam.sched.snapshot import Snapshot
 from badgerseam.wire.explain import CloudView
 
 SURVEY_TIMEOUT_S = 0.3
-"""Rather than wait longer for the allowance, an earlier survey is used."""
+"""Longest wait for the budget of processor time; rather than wait longer, an earlier survey is
+used."""
+BUDGET_BURST_S = 2.0
 MAX_RECENT_SURVEYS = 3
+"""Surveys of each shard that are kept for questions while the budget is used up."""
 
 
 class NotOwnerError(BadgerseamError):
-    """This controller does not plan for the share, or cannot vouch for it now."""
+    """This controller does not plan for the shard, or cannot vouch for its answers now."""
 
 
 @dataclass(slots=True)
 class Survey:
-    """What one walk found, and when."""
+    """What one walk found."""
 
     at: float
+    """When its snapshot was taken, by the clock of the process."""
     revision: int
+    """The model's revision at that time."""
     findings: dict[Job, Finding]
     held_back: dict[Job, str]
     """Jobs with waiting tasks that the plan leaves out now, and why."""
     supply: Supply = field(default_factory=Supply)
-    """What is on its way to the share."""
+    """The machines that are on their way to the shard."""
+
+
+class _TermSurvey(NamedTuple):
+    """A survey, and the term of the shard's owner in which it was made."""
+
+    term: int
+    survey: Survey
 
 
 @dataclass(slots=True)
 class _QuestionBatch:
+    """The questions that the next walk answers."""
+
     jobs: set[Job] = field(default_factory=set)
     future: asyncio.Future[Survey] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
@@ -54,66 +70,74 @@
 
 
 class Surveys:
-    """Gathers the questions of each share into walks."""
+    """Batches the questions about each shard into walks."""
 
     def __init__(
         self,
         model: Model,
         planner: Planner,
         cloud: LeaderCloudView,
-        part: float,
+        processor_fraction: float,
         slice_s: float,
-        most_age_s: float,
+        max_age_s: float,
     ) -> None:
         self._model = model
         self._cloud = cloud
         self._planner = planner
-        clock = model.clock
-        self._clock = clock
+        self._clock = model.clock
         self._slice_s = slice_s
-        self._most_age_s = most_age_s
-        self._done: dict[int, deque[tuple[int, Survey]]] = {}
-        """The latest surveys of each share, and the terms they were made under."""
-        self._allowance = RateBudget(clock, part, 2.0, least_burst=slice_s)
-        self._waiting: dict[int, _QuestionBatch] = {}
+        self._max_age_s = max_age_s
+        self._recent: dict[int, deque[_TermSurvey]] = {}
+        """The latest surveys of each shard, the newest first."""
+        self._budget = RateBudget(
+            model.clock, processor_fraction, BUDGET_BURST_S, least_burst=slice_s
+        )
+        """Seconds of processor time."""
+        self._batches: dict[int, _QuestionBatch] = {}
         self._tasks = BackgroundTasks()
         self.walks = 0
         self.longest_slice_s = 0.0
+        """The longest time for which a walk has held the event loop."""
 
     async def ask(self, shard: Shard, jobs: set[Job]) -> Survey:
-        """A survey of jobs of one share that began after the question; NotOwner if it was given up
-        meanwhile.
+        """A survey of jobs of one shard that began after the question.
+
+        Raises NotOwnerError if the shard was given up meanwhile.
 
-        While the allowance is used up, by a list of all jobs perhaps, an earlier survey that
-        covers them serves if it is no older than `most_age_s`: answers tell their age.
+        While the budget is used up, by a list of all jobs perhaps, an earlier survey that
+        covers them serves if it is no older than `max_age_s`: answers tell their age.
         """
-        if self._allowance.wait_s(0.0) > SURVEY_TIMEOUT_S:
-            known = self._recent(shard, jobs)
-            if known is not None:
-                return known
-        batch = self._waiting.get(shard.index)
+        if self._budget.wait_s(0.0) > SURVEY_TIMEOUT_S:
+            earlier = self._recent_survey(shard, jobs)
+            if earlier is not None:
+                return earlier
+        batch = self._batches.get(shard.index)
         if batch is None:
-            batch = self._waiting[shard.index] = _QuestionBatch()
+            batch = self._batches[shard.index] = _QuestionBatch()
             self._tasks.spawn(self._run(shard, batch))
         batch.jobs |= jobs
         # Whoever gives up waiting must not take the answer from the others.
         return await asyncio.shield(batch.future)
 
-    def _recent(self, shard: Shard, jobs: set[Job]) -> Survey | None:
+    def _recent_survey(self, shard: Shard, jobs: set[Job]) -> Survey | None:
+        """The newest survey of this term that covers the jobs and is not too old."""
         now = self._clock.now()
-        for term, known in self._done.get(shard.index, ()):
-            covered = all(job in known.findings or job in known.held_back for job in jobs)
-            if term == shard.term and covered and now - known.at <= self._most_age_s:
-                return known
+        for term, recent in self._recent.get(shard.index, ()):
+            is_covered = all(job in recent.findings or job in recent.held_back for job in jobs)
+            if term == shard.term and is_covered and now - recent.at <= self._max_age_s:
+                return recent
         return None
 
     async def _run(self, shard: Shard, batch: _QuestionBatch) -> None:
+        """Answer a batch as soon as the budget allows a walk."""
         await asyncio.sleep(0)
         cloud = await self._cloud.get()
-        while (pause := self._allowance.wait_s(0.0)) > 0:
-            await asyncio.sleep(pause)
+        wait_s = self._budget.wait_s(0.0)
+        while wait_s > 0:
+            await asyncio.sleep(wait_s)
+            wait_s = self._budget.wait_s(0.0)
         # From here on questions go into the next walk: this one's snapshot would be too old.
-        del self._waiting[shard.index]
+        del self._batches[shard.index]
         try:
             result = await self._walk(shard, batch.jobs, cloud)
         except Exception as error:
@@ -124,8 +148,9 @@
             batch.future.set_result(result)
 
     async def _walk(self, shard: Shard, jobs: set[Job], cloud: CloudView | None) -> Survey:
+        """Take a snapshot of the shard and walk through it as a plan does, in slices."""
         model, planner = self._model, self._planner
-        begun = time.perf_counter()
+        slice_start = time.perf_counter()
         with model.lock:
             if not shard.owned:
                 raise NotOwnerError(str(shard.index))
@@ -133,34 +158,44 @@
             now = self._clock.now()
             requests = without_job_state(planner.requests(shard))
             snapshot = planner.snapshot(shard, planner.nodes(shard), requests)
-            by_index = {job.index: job for job in jobs}
             result = Survey(now, model.revision, {}, {})
             result.supply = supply_of(model, planner, shard, cloud)
-            for job in jobs:
-                if job.waiting() > 0:
-                    why = planner.hold_reason(job, now)
-                    if why is not None:
-                        result.held_back[job] = why
+            result.held_back = self._held_back(jobs, now)
         self.walks += 1
-        self._charge(time.perf_counter() - begun)
+        self._charge(time.perf_counter() - slice_start)
         await asyncio.sleep(0)
-        begun = time.perf_counter()
-        for found in survey(snapshot, set(by_index)):
-            if found is not None:
-                result.findings[by_index[found.request.job]] = found
-            spent = time.perf_counter() - begun
-            if spent >= self._slice_s:
-                self._charge(spent)
-                await asyncio.sleep(0)
-                begun = time.perf_counter()
-        self._charge(time.perf_counter() - begun)
+        await self._collect_findings(result, snapshot, jobs)
         if not shard.owned or shard.term != term:
             raise NotOwnerError(str(shard.index))
-        self._done.setdefault(shard.index, deque(maxlen=MAX_RECENT_SURVEYS)).appendleft(
-            (term, result)
-        )
+        recent = self._recent.setdefault(shard.index, deque(maxlen=MAX_RECENT_SURVEYS))
+        recent.appendleft(_TermSurvey(term, result))
         return result
 
+    def _held_back(self, jobs: set[Job], now: float) -> dict[Job, str]:
+        """The jobs with waiting tasks that the plan leaves out, and why."""
+        held_back: dict[Job, str] = {}
+        for job in jobs:
+            if job.waiting() > 0:
+                reason = self._planner.hold_reason(job, now)
+                if reason is not None:
+                    held_back[job] = reason
+        return held_back
+
+    async def _collect_findings(self, result: Survey, snapshot: Snapshot, jobs: set[Job]) -> None:
+        """Walk through a snapshot, and let go of the event loop after each slice."""
+        jobs_by_index = {job.index: job for job in jobs}
+        slice_start = time.perf_counter()
+        for finding in survey(snapshot, set(jobs_by_index)):
+            if finding is not None:
+                result.findings[jobs_by_index[finding.request.job]] = finding
+            spent = time.perf_counter() - slice_start
+            if spent >= self._slice_s:
+                self._charge(spent)
+                await asyncio.sleep(0)
+                slice_start = time.perf_counter()
+        self._charge(time.perf_counter() - slice_start)
+
     def _charge(self, seconds: float) -> None:
-        self._allowance.charge(seconds)
+        """Charge the processor time of one slice."""
+        self._budget.charge(seconds)
         self.longest_slice_s = max(self.longest_slice_s, seconds)
