--- a/badgerseam/http/budget.py
+++ b/badgerseam/http/budget.py
@@ -1,4 +1,4 @@
-"""Rate budgets: a share of a limit that several controllers have to keep together."""
+"""Rate budgets: a part of a limit that several controllers must not exceed together."""
 
 from __future__ import annotations
 
@@ -14,31 +14,35 @@
         self._clock = clock
         self._per_s = per_s
         self.burst = max(least_burst, per_s * burst_s)
-        """What may be used at once."""
+        """The most that may be used at once."""
         self.taken = 0.0
-        """What has been used since the beginning."""
+        """What `take` has used since the beginning."""
         self._level = self.burst
-        self._at = clock.now()
+        self._refilled_at = clock.now()
 
     @property
     def per_s(self) -> float:
+        """The rate at which the budget is refilled."""
         return self._per_s
 
     @per_s.setter
     def per_s(self, per_s: float) -> None:
-        """Change the rate from now on; the burst stays."""
+        # The new rate holds from now on; the burst stays.
         self.available()
         self._per_s = per_s
 
     def available(self) -> float:
         """What may be used now."""
         now = self._clock.now()
-        self._level = min(self.burst, self._level + (now - self._at) * self.per_s)
-        self._at = now
+        self._level = min(self.burst, self._level + (now - self._refilled_at) * self.per_s)
+        self._refilled_at = now
         return self._level
 
     def take(self, amount: float = 1.0, reserve: float = 0.0) -> bool:
-        """Use amount if that leaves the reserve; may overdraw never."""
+        """Use an amount if that leaves the reserve; whether it was used.
+
+        Only an amount above the burst overdraws: it may be used as soon as the burst is there.
+        """
         if self.available() < min(amount, self.burst) + reserve:
             return False
         self._level -= amount
@@ -46,16 +50,16 @@
         return True
 
     def wait_s(self, amount: float = 1.0, reserve: float = 0.0) -> float:
-        """How long until take would succeed."""
+        """Seconds until `take` would succeed."""
         missing = min(amount, self.burst) + reserve - self.available()
         return max(0.0, missing / self.per_s)
 
     def charge(self, amount: float) -> None:
-        """Use an amount that is known only afterwards; what is overdrawn has to come back."""
+        """Use an amount that is known only afterwards; an overdraft has to be refilled first."""
         self.available()
         self._level -= amount
 
     def penalize(self, seconds: float) -> None:
-        """After a refusal for rate: act as if that much had been used."""
+        """After a refusal for rate by the other side: allow nothing for so many seconds."""
         self.available()
         self._level = min(self._level, 0.0) - seconds * self.per_s
--- a/badgerseam/http/client.py
+++ b/badgerseam/http/client.py
@@ -33,7 +33,7 @@
 
 
 class ConnectionRefusedByPeerError(NotSentError):
-    """The connection was refused: something is there, and nobody takes it."""
+    """The connection was refused: the machine is reachable, and no process listens there."""
 
 
 class ConnectionResetByPeerError(NoResponseError):
@@ -41,6 +41,8 @@
 
 
 class Response:
+    """The answer to a request."""
+
     __slots__ = ("body", "retry_after", "status")
 
     def __init__(self, status: int, body: bytes, retry_after: str | None = None) -> None:
@@ -50,6 +52,8 @@
 
 
 class _Collector(HTTPMessageDelegate):
+    """Collects the parts of a response."""
+
     def __init__(self) -> None:
         self.status = 0
         self.retry_after: str | None = None
@@ -72,9 +76,9 @@
 class HttpClient:
     """Requests to any number of addresses over kept connections.
 
-    A controller left alone has the reports of all workers and the users on its sockets: at most
-    `keep` connections, a number or what tells it now, are kept idle altogether, the most recently
-    used ones.
+    The last controller of a site has the heartbeats of all workers and the users on its sockets, so
+    idle connections are limited: at most `keep` of them, a number or a function that returns the
+    present limit, are kept altogether, the most recently used ones.
     """
 
     def __init__(self, connect_s: float = 1.5, keep: int | Callable[[], int] = 64) -> None:
@@ -82,74 +86,63 @@
         self._idle: OrderedDict[IOStream, str] = OrderedDict()
         self._by_address: dict[str, list[IOStream]] = {}
         self._connect_s = connect_s
-        self._keep = keep if callable(keep) else lambda: keep
+        self._max_idle = keep if callable(keep) else lambda: keep
 
     async def request(
         self, address: str, method: str, path: str, body: bytes | None, deadline_s: float
     ) -> Response:
-        """Send one request; NoResponse if none came within deadline_s."""
+        """Send one request, and return the response.
+
+        Raises NoResponseError, or one of its subclasses, if none came within deadline_s.
+        """
         stream: IOStream | None = None
         try:
             async with asyncio.timeout(deadline_s):
                 stream = await self._stream(address, deadline_s)
                 collector = _Collector()
                 connection = HTTP1Connection(stream, True, _PARAMS)
-                headers = HTTPHeaders({"Host": address})
-                if body is not None:
-                    headers["Content-Length"] = str(len(body))
-                    headers["Content-Type"] = "application/json"
-                # write_headers returns a future that fails when the stream closes; the read
-                # below reports that as well.
-                written = connection.write_headers(
-                    RequestStartLine(method, path, "HTTP/1.1"), headers, body
-                )
-                written.add_done_callback(_observe)
-                connection.finish()
+                _write_request(connection, address, method, path, body)
                 await connection.read_response(collector)
         except (TimeoutError, StreamClosedError, HTTPInputError, OSError, ValueError) as error:
             if stream is None:
-                reason = error.real_error if isinstance(error, StreamClosedError) else error
-                refused = isinstance(reason, ConnectionRefusedError)
-                raise (ConnectionRefusedByPeerError if refused else NotSentError)(
-                    f"{address}: {error!r}"
-                ) from error
+                raise _connect_error(address, error) from error
             stream.close()
-            self._forget(address)
-            kind = (
-                ConnectionResetByPeerError
-                if isinstance(error, StreamClosedError)
-                else NoResponseError
-            )
-            raise kind(f"{address}{path}: {error!r}") from error
+            self._close_idle(address)
+            is_reset = isinstance(error, StreamClosedError)
+            raise (ConnectionResetByPeerError if is_reset else NoResponseError)(
+                f"{address}{path}: {error!r}"
+            ) from error
         except BaseException:
             if stream is not None:
                 stream.close()
             raise
         if collector.status == 0:
             stream.close()
-            self._forget(address)
+            self._close_idle(address)
             raise ConnectionResetByPeerError(f"{address}{path}: closed before a response")
         if not stream.closed():
             self._return_stream(address, stream)
         return Response(collector.status, b"".join(collector.chunks), collector.retry_after)
 
     def _return_stream(self, address: str, stream: IOStream) -> None:
+        """Keep a connection for the next request; close the oldest ones over the limit."""
         self._idle[stream] = address
         self._by_address.setdefault(address, []).append(stream)
-        most = self._keep()
-        while len(self._idle) > most:
+        max_idle = self._max_idle()
+        while len(self._idle) > max_idle:
             oldest = next(iter(self._idle))
             self._take_stream(oldest)
             oldest.close()
 
-    def _forget(self, address: str) -> None:
-        """Connections kept to where one has failed are as old, and as dead after a cut: one request
-        after the other would have to find that out, each for the whole of its deadline."""
+    def _close_idle(self, address: str) -> None:
+        """Close the idle connections to an address where one has failed: after a partition all of
+        them are dead, and each would cost a request the whole of its deadline."""
         for stream in list(self._by_address.get(address, ())):
             self._take_stream(stream)
             stream.close()
 
     def _take_stream(self, stream: IOStream) -> None:
+        """Remove a connection from the idle ones."""
         address = self._idle.pop(stream)
         pool = self._by_address[address]
         pool.remove(stream)
@@ -157,11 +150,12 @@
             del self._by_address[address]
 
     async def _stream(self, address: str, deadline_s: float) -> IOStream:
+        """An idle connection to the address, or a new one."""
         while pool := self._by_address.get(address):
-            kept = pool[-1]
-            self._take_stream(kept)
-            if not kept.closed():
-                return kept
+            idle = pool[-1]
+            self._take_stream(idle)
+            if not idle.closed():
+                return idle
         host, _, port = address.rpartition(":")
         async with asyncio.timeout(min(self._connect_s, deadline_s)):
             stream = await self._tcp.connect(host, int(port))
@@ -169,6 +163,28 @@
         return stream
 
 
+def _write_request(
+    connection: HTTP1Connection, address: str, method: str, path: str, body: bytes | None
+) -> None:
+    headers = HTTPHeaders({"Host": address})
+    if body is not None:
+        headers["Content-Length"] = str(len(body))
+        headers["Content-Type"] = "application/json"
+    # write_headers returns a future that fails when the stream closes; reading the response
+    # reports that as well.
+    written = connection.write_headers(RequestStartLine(method, path, "HTTP/1.1"), headers, body)
+    written.add_done_callback(_observe)
+    connection.finish()
+
+
+def _connect_error(address: str, error: Exception) -> NotSentError:
+    """The error of a request whose connection could not be made."""
+    reason = error.real_error if isinstance(error, StreamClosedError) else error
+    is_refused = isinstance(reason, ConnectionRefusedError)
+    return (ConnectionRefusedByPeerError if is_refused else NotSentError)(f"{address}: {error!r}")
+
+
 def _observe(future: asyncio.Future[None]) -> None:
+    """Retrieve the error of a write, which reading the response reports."""
     if not future.cancelled():
         future.exception()
--- a/badgerseam/http/network.py
+++ b/badgerseam/http/network.py
@@ -1,4 +1,4 @@
-"""Where clients and servers come from, injected like the clock: sockets, unless told otherwise."""
+"""The factory of HTTP clients and servers, injected like the clock so that tests replace it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,14 @@
 
 
 class Network:
-    """Sockets."""
+    """Clients and servers over TCP sockets."""
 
     def client(self, connect_s: float = 1.5, keep: int | Callable[[], int] = 64) -> HttpClient:
+        """A client with a time limit for connecting, and a limit of idle connections."""
         return HttpClient(connect_s, keep)
 
     def server(self, handler: Handler) -> HttpServer:
+        """A server of one handler; it does not listen yet."""
         return HttpServer(handler)
 
 
--- a/badgerseam/http/server.py
+++ b/badgerseam/http/server.py
@@ -18,15 +18,21 @@
 log = logging.getLogger("badgerseam.http")
 
 MAX_BODY_BYTES = 64 * 1024
-"""The protocols' limit. Larger bodies are read up to SWALLOW so that they get a clean answer."""
-MAX_DISCARDED_BODY = 1024 * 1024
-IDLE_S = 20.0
+"""The protocols' limit. Larger bodies are read up to MAX_DISCARDED_BODY_BYTES, so that they are
+refused with an answer."""
+MAX_DISCARDED_BODY_BYTES = 1024 * 1024
+MAX_HEADER_BYTES = 16384
+BODY_TIMEOUT_S = 10.0
+LISTEN_BACKLOG = 512
+IDLE_TIMEOUT_S = 20.0
 """Workers report and users poll every few seconds. Peers that were cut off, or ended, leave their
-connections open without a word, and sockets are few."""
+connections open without closing them, and sockets are few."""
 
 
 @dataclass(slots=True)
 class Reply:
+    """The answer to one request; the body is JSON unless the content type says otherwise."""
+
     status: int
     body: bytes = b"{}"
     retry_after_s: int | None = None
@@ -41,19 +47,19 @@
     return Reply(status, b'{"error":"%s"}' % text.encode(), retry_after_s)
 
 
-class _Counting(HTTPServer):
-    """Knows how many connections are open."""
+class _CountingServer(HTTPServer):
+    """Counts its open connections."""
 
     def initialize(self, *args: Any, **kwargs: Any) -> None:
         super().initialize(*args, **kwargs)
-        self.open = 0
+        self.open_connections = 0
 
     def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
-        self.open += 1
+        self.open_connections += 1
         super().handle_stream(stream, address)
 
     def on_close(self, server_conn: object) -> None:
-        self.open -= 1
+        self.open_connections -= 1
         super().on_close(server_conn)
 
 
@@ -63,23 +69,24 @@
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
         self._tasks = BackgroundTasks()
-        self._server = _Counting(
+        self._server = _CountingServer(
             self._request,
-            max_buffer_size=2 * MAX_DISCARDED_BODY,
-            max_body_size=MAX_DISCARDED_BODY,
-            max_header_size=16384,
-            body_timeout=10.0,
-            idle_connection_timeout=IDLE_S,
+            max_buffer_size=2 * MAX_DISCARDED_BODY_BYTES,
+            max_body_size=MAX_DISCARDED_BODY_BYTES,
+            max_header_size=MAX_HEADER_BYTES,
+            body_timeout=BODY_TIMEOUT_S,
+            idle_connection_timeout=IDLE_TIMEOUT_S,
         )
 
     def listen(self, address: str) -> None:
+        """Listen at `host:port`."""
         host, _, port = address.rpartition(":")
-        self._server.listen(int(port), host, backlog=512)
+        self._server.listen(int(port), host, backlog=LISTEN_BACKLOG)
 
     @property
     def connections(self) -> int:
-        """How many are open."""
-        return self._server.open
+        """How many connections are open."""
+        return self._server.open_connections
 
     @property
     def open_requests(self) -> int:
@@ -87,27 +94,29 @@
         return len(self._tasks)
 
     def stop(self) -> None:
+        """Accept no more connections; open ones are served on."""
         self._server.stop()
 
     def _request(self, request: HTTPServerRequest) -> None:
+        """Answer a request at once, or in a task of its own if its handler has to wait."""
         if len(request.body) > MAX_BODY_BYTES:
             self._send(request, error_reply(400, "body over 64 KiB"))
             return
         try:
             outcome = self._handler(request.method or "", request.uri or "", request.body)
         except Exception:
-            log.exception("request %s %s failed", request.method, request.path)
+            log.exception("request failed method=%s path=%s", request.method, request.path)
             outcome = error_reply(503, "internal error", 1)
         if isinstance(outcome, Reply):
             self._send(request, outcome)
         else:
-            self._tasks.spawn(self._later(request, outcome))
+            self._tasks.spawn(self._reply_later(request, outcome))
 
-    async def _later(self, request: HTTPServerRequest, outcome: Awaitable[Reply]) -> None:
+    async def _reply_later(self, request: HTTPServerRequest, outcome: Awaitable[Reply]) -> None:
         try:
             reply = await outcome
         except Exception:
-            log.exception("request %s %s failed", request.method, request.path)
+            log.exception("request failed method=%s path=%s", request.method, request.path)
             reply = error_reply(503, "internal error", 1)
         self._send(request, reply)
 
@@ -125,9 +134,10 @@
             connection.write_headers(line, headers, reply.body).add_done_callback(_observe)
             connection.finish()
         except (StreamClosedError, OSError):
-            log.debug("%s %s: the peer is gone", request.method, request.path)
+            log.debug("reply dropped method=%s path=%s", request.method, request.path)
 
 
 def _observe(future: asyncio.Future[None]) -> None:
+    """Retrieve the error of a write, which the closed connection has shown already."""
     if not future.cancelled():
         future.exception()
--- a/badgerseam/settings.py
+++ b/badgerseam/settings.py
@@ -27,17 +27,23 @@
 
 
 class Sibling(Struct, frozen=True):
+    """Another controller of the site (a peer)."""
+
     node: Name
     zone: str
     peer_addr: Address
 
 
 class Outside(Struct, frozen=True):
+    """The addresses of the services outside the site."""
+
     cloud: Address
     state: Address
 
 
 class Team(Struct, frozen=True):
+    """A team's quota: guaranteed resources, and the most that it may use (`_max`; 0: no limit)."""
+
     name: Name
     cpus: Amount
     cpus_max: Amount
@@ -48,8 +54,8 @@
     def limits(self) -> tuple[float, float]:
         """Processors and accelerators that its tasks may use at most.
 
-        0 stands for none. Where both are 0, that is no limit: read as "nothing", it told a guest
-        team without a guarantee, in its first request, that its jobs could never run.
+        0 stands for none. Where both are 0, that is no limit: read as "nothing", it would refuse
+        all jobs of a guest team without a guarantee.
         """
         if self.cpus_max or self.gpus_max:
             return self.cpus_max, self.gpus_max
@@ -57,38 +63,57 @@
 
 
 class Objective(Struct, frozen=True, rename={"required_fraction": "share"}):
+    """A service-level objective of the site."""
+
     kind: str
     job_class: str | None = field(default=None, name="class")
     required_fraction: float | None = None
+    """`share` in the file: the part of the cases that must meet the objective."""
     within_s: float | None = None
     times: float | None = None
 
 
 class WorkerParams(Struct, frozen=True):
+    """Times of the workers' protocol, in seconds."""
+
     report_s: Positive
+    """Interval of heartbeats."""
     lease_s: Positive
+    """How long a worker keeps its tasks without an answer."""
     cancel_s: Positive
+    """Within which time the tasks of a cancelled job must have ended."""
 
 
 class StateParams(Struct, frozen=True):
+    """Limits of the state service."""
+
     rps: Positive
+    """Requests a second, of all controllers together."""
     write_rps: Positive
+    """Changes a second, of all controllers together."""
     value_kb: Positive
+    """Size of a value."""
     txn_ops: Count
+    """Operations of a transaction."""
 
 
 class CloudParams(Struct, frozen=True):
+    """Limits of the cloud's interface."""
+
     rps: Positive
     list_lag_s: Amount
+    """How much older than the truth its list of machines may be, in seconds."""
 
 
 class MachineLimits(Struct, frozen=True):
-    """What the controller's own machine has."""
+    """Limits of the controller's own machine."""
 
     sockets: Count = 1024
 
 
 class Params(Struct, frozen=True):
+    """The parameters of the site."""
+
     initial_size: Count
     teams: list[Team]
     workers: WorkerParams
@@ -101,6 +126,8 @@
 
 
 class Settings(Struct, frozen=True):
+    """The platform's settings file of one controller."""
+
     node: Name
     zone: str
     api_addr: Address
--- a/badgerseam/wire/batch.py
+++ b/badgerseam/wire/batch.py
@@ -1,4 +1,4 @@
-"""What batch clients ask beyond submissions: numbers, changed terms, a job whole, machines."""
+"""Messages of batch clients beyond submissions: numbers, changed terms, details, machines."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 
 
 class NumbersRequest(Struct, frozen=True, forbid_unknown_fields=True):
-    """How many numbers are wanted."""
+    """A request for job numbers."""
 
     count: Annotated[int, Meta(ge=1, le=100)] = 1
 
 
 class NumbersResponse(Struct, frozen=True):
+    """Job numbers that were allocated, each of them once."""
+
     numbers: list[int]
 
 
@@ -27,7 +29,7 @@
 
 
 class Amendment(Struct, frozen=True, forbid_unknown_fields=True, rename="camel"):
-    """Terms to change; what is left out stays. null takes a term away."""
+    """Terms to change; what is left out stays. null removes a term."""
 
     hold: bool | UnsetType = UNSET
     begin_at: Annotated[float, Meta(ge=0, le=1e11)] | None | UnsetType = UNSET
@@ -38,7 +40,7 @@
 
 
 class Details(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """A job whole. Of one that has ended only its end is kept."""
+    """All that is known of a job. Of one that has ended only its final state is stored."""
 
     id: str
     phase: str
--- a/badgerseam/wire/cloud.py
+++ b/badgerseam/wire/cloud.py
@@ -1,4 +1,7 @@
-"""The cloud's machine types, rentals and lists."""
+"""The cloud's protocol: machine types, rental requests, lists of machines.
+
+Where the protocol's name of a field differs, the field's docstring gives it.
+"""
 
 from __future__ import annotations
 
@@ -20,20 +23,34 @@
         "zones": "setts",
     },
 ):
+    """A type of machine that can be rented."""
+
     name: str
+    """`sku`"""
     cpus: float
     memory_gb: float
+    """`memGb`"""
     price: float
+    """Price of an ordinary machine."""
     zones: list[str]
+    """`setts`: the zones that offer it."""
     gpus: float = 0.0
+    """`accelerators`"""
     spot_price: float = 0.0
+    """`spotPrice`: price of a spot instance."""
     boot_s: float = 30.0
+    """`bootS`: usual seconds from the rental until the worker is up."""
     cache_gb: float = 0.0
+    """`localGb`: local disk for images."""
     fetch_gb_per_s: float = 1.0
+    """`fetchGbPerS`: rate at which images are fetched."""
 
 
 class Types(Struct, frozen=True, rename={"types": "breeds"}):
+    """All machine types of the cloud."""
+
     types: list[MachineType]
+    """`breeds`"""
 
 
 class RentalRequest(
@@ -47,15 +64,25 @@
         "count": "howMany",
     },
 ):
+    """A request for machines."""
+
     request: str
+    """`hire`: the unique name of the request, which makes it safe to repeat."""
     type: str
+    """`breed`"""
     zone: str
+    """`sett`"""
     spot: bool
+    """`loaned`"""
     count: int
+    """`howMany`: how many machines."""
 
 
 class MachineNames(Struct, frozen=True, rename={"machines": "hosts"}):
+    """Names of machines."""
+
     machines: list[str]
+    """`hosts`"""
 
 
 class ListedMachine(
@@ -70,18 +97,31 @@
         "age_s": "ageS",
     },
 ):
+    """A rented machine in the cloud's list."""
+
     id: str
+    """The name of the machine."""
     addr: str
+    """`address`: where its worker takes direct commands."""
     type: str
+    """`breed`"""
     zone: str
+    """`sett`"""
     spot: bool
+    """`loaned`"""
     state: str
+    """`phase`"""
     age_s: float = 0.0
+    """`ageS`: seconds since it was rented."""
 
 
 class MachinePage(Struct, frozen=True, rename={"machines": "hosts"}):
+    """A part of the cloud's list of machines."""
+
     machines: list[ListedMachine] = field(default_factory=list)
+    """`hosts`"""
     more: bool = False
+    """Whether the list goes on."""
 
 
 types_decoder: msgspec.json.Decoder[Types] = msgspec.json.Decoder(Types)
--- a/badgerseam/wire/state.py
+++ b/badgerseam/wire/state.py
@@ -1,4 +1,8 @@
-"""The state service's messages, and the records this project keeps there."""
+"""The state service's protocol, and the records that are stored there.
+
+Where the protocol's name of a field differs, the field's docstring gives it. Stored records are
+arrays on the wire to stay small: the order of their fields is the format.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +14,25 @@
 
 
 class Entry(Struct, frozen=True, rename={"key": "k", "value": "data", "version": "stamp"}):
+    """A key and its value."""
+
     key: str
+    """`k`"""
     value: Raw
+    """`data`"""
     version: int
+    """`stamp`: the revision of the latest change of the key."""
 
 
 class KeyPage(Struct, frozen=True, rename={"items": "entries", "revision": "epoch"}):
+    """A part of the keys under a prefix."""
+
     items: list[Entry]
+    """`entries`"""
     more: bool
+    """Whether there are keys behind these."""
     revision: int
+    """`epoch`: the revision of the store at which the page was read."""
 
 
 class Change(
@@ -26,20 +40,34 @@
     frozen=True,
     rename={"put": "set", "delete": "remove", "value": "data", "version": "stamp"},
 ):
+    """A change of one key: either `put` or `delete` names it."""
+
     version: int
+    """`stamp`: the revision of the change."""
     put: str | None = None
+    """`set`: the key, if a value was written."""
     delete: str | None = None
+    """`remove`: the key, if it was deleted."""
     value: Raw = Raw(b"null")
+    """`data`: the value that was written."""
 
 
 class Changes(Struct, frozen=True, rename={"revision": "epoch", "events": "log"}):
+    """The changes of the store after a revision."""
+
     revision: int
+    """`epoch`: the revision up to which these are all the changes."""
     events: list[Change] = field(default_factory=list)
+    """`log`: in the order of their revisions."""
 
 
 class Condition(Struct, frozen=True, rename={"key": "k", "version": "stamp"}):
+    """A condition of a transaction: a key that must still have a version."""
+
     key: str
+    """`k`"""
     version: int
+    """`stamp`: 0 if the key must not exist."""
 
 
 class Write(
@@ -48,37 +76,54 @@
     omit_defaults=True,
     rename={"put": "set", "delete": "remove", "value": "data", "lease": "grant"},
 ):
+    """A write of a transaction: either `put` or `delete` names the key."""
+
     put: str | None = None
+    """`set`"""
     delete: str | None = None
+    """`remove`"""
     value: Raw | None = None
+    """`data`"""
     lease: int | None = None
+    """`grant`: the lease whose end deletes the key; None if it stays."""
 
 
 class Transaction(Struct, frozen=True, rename={"conditions": "when", "then": "writes"}):
+    """A compare-and-swap: the writes happen if all conditions hold."""
+
     conditions: list[Condition]
+    """`when`"""
     then: list[Write]
+    """`writes`"""
 
 
 class Committed(Struct, frozen=True, rename={"revision": "epoch"}):
+    """The answer to a transaction."""
+
     revision: int
+    """`epoch`: the revision that its writes got."""
     failed: list[str] = field(default_factory=list)
+    """The keys whose conditions did not hold; nothing was written if there are any."""
 
 
 class Lease(Struct, frozen=True, rename={"lease": "grant"}):
+    """A lease."""
+
     lease: int
+    """`grant`: its number."""
 
 
-# Records of this project. They are arrays on the wire to stay small.
+# ---- stored records ----
 
 
 class Claim(Struct, frozen=True, array_like=True):
-    """Who holds a share, the leadership, or is simply alive, on which lease."""
+    """Who owns a shard, leads, or is alive, and on which lease."""
 
     node: str
     lease: int
     unavailable: bool = False
-    """Of a controller's own record: it takes no share, since it hears no worker, is asked to
-    leave, or does not fit the site's level."""
+    """Of a controller's own record: it claims no shard, since no worker reaches it, it drains, or
+    it does not support the site's level."""
 
 
 class ControllerRecord(Claim, frozen=True, array_like=True):
@@ -91,20 +136,20 @@
     classes_digest: str = ""
     """Digest of the priority classes in its options; empty if it keeps none."""
     suspected: list[str] = field(default_factory=list)
-    """Controllers that it takes for ended; one that lives answers by writing its own record."""
+    """Controllers that it suspects to have ended; one that is alive writes its own record again."""
 
 
 class ClaimRecord(Claim, frozen=True, array_like=True):
-    """A claim on a share or on the leadership."""
+    """A claim on a shard or on the leadership."""
 
     previous_owner_until: float | None = None
-    """Time of day up to which an owner from before the holder, cut off from the state service, may
-    go on answering the share's workers; None from a program that does not say. Later processes of
-    the holder carry it over, since none of them can know it by itself."""
+    """Time of day up to which the owner before this one, cut off from the state service, may go on
+    answering the shard's workers; None from a program that does not say. Later processes of the
+    owner carry it over, since none of them can know it by itself."""
 
 
 class ProxyRecord(Struct, frozen=True, array_like=True):
-    """In place of which owners, that it cannot reach, a controller answers their workers."""
+    """The owners whose workers a controller answers, since it cannot reach them."""
 
     node: str
     lease: int
@@ -121,17 +166,17 @@
     usage: Usage | None = None
     """What it used, of one that has ended and was accounted for."""
     queue_position: int = 0
-    """Its place in the queue: the stamp of the record that accepted it, kept when that is written
-    again; 0 in that record itself."""
+    """The version of the record that accepted it, kept when that is written again; 0 in that
+    record itself."""
 
 
 class StoredMember(StoredJob, frozen=True, array_like=True):
-    """An ended job of a plan of reckoning runs. With its place it tells its run: it was accepted
-    before the members of that one were settled, and after those of the run before were."""
+    """An ended job of a plan of reckoning runs. Its queue position determines its run: it was
+    accepted before the members of that one were settled, and after those of the run before."""
 
     plan: str = ""
     reckoned: int = 0
-    """Of a cancelled one: its tasks that were known to be done."""
+    """Of a cancelled job: its tasks that were known to be done."""
 
 
 class TaskRow(Struct, frozen=True, array_like=True):
@@ -176,8 +221,8 @@
 
 
 class JobRows(Struct, frozen=True, array_like=True):
-    """What a page holds of a job: finished tasks as hexadecimal bit sets, each of one chunk of
-    the job's tasks, and tasks that were tried."""
+    """One job in a page of the task log: finished tasks as hexadecimal bit sets, each of one chunk
+    of the job's tasks, and tasks that were tried."""
 
     job: str
     done: list[tuple[int, str]]
@@ -190,7 +235,7 @@
 
 
 class StoredMachine(Struct, frozen=True, array_like=True):
-    """A machine and the share it serves; dropped ones wait for their release."""
+    """A machine and the shard it serves; dropped ones wait for their release."""
 
     name: str
     shard: int
@@ -206,7 +251,7 @@
     """A rental request under its unique name, persisted before it is sent."""
 
     shards: list[int]
-    """The share each machine is meant for, the most urgent first."""
+    """The shard each machine is meant for, the most urgent first."""
     type: str
     zone: str
     spot: bool
@@ -225,7 +270,7 @@
 
 
 class Target(Struct, frozen=True, array_like=True):
-    """What operators want of the level; without such a record it rises when it can."""
+    """The level that operators ask for; without such a record it rises when it can."""
 
     level: int
     """To be raised or lowered to, one step at a time, and to stay at."""
@@ -234,8 +279,8 @@
 
 
 class StoredRun(Struct, frozen=True, array_like=True):
-    """A reckoning run of a plan; it is never removed. Each phase is written on the stamp of the
-    one before."""
+    """A reckoning run of a plan; it is never removed. Each phase is written on the version of
+    the one before."""
 
     phase: str
     """open, reckoning, second (round), closing, closed."""
@@ -250,8 +295,8 @@
     at: float
     """When the phase began."""
     cut: int = 0
-    """Of a closed one, the stamp of its closing record: members are those accepted before it. Of
-    one that is closing it is the record's own stamp."""
+    """Of a closed run, the version of its closing record: members are those accepted before it. Of
+    one that is closing it is the record's own version."""
     seen: int = 0
     """Of a closed one, the revision at which its members were counted."""
     counts: list[int] = field(default_factory=list)
@@ -279,13 +324,13 @@
     age_s: float = 0.0
     """A job counts as one class higher for each of these times that it has waited; 0: never."""
     max_hold_s: float = 0.0
-    """How long after a takeover room is kept for what is coming."""
+    """How long after a takeover capacity is reserved for what is coming."""
     options: str = ""
     """Digest of the options that were in force when it was written: only others replace it."""
 
 
 class StoredCounts(Struct, frozen=True, array_like=True):
-    """G and F of a share."""
+    """A shard's counts of finished and evicted tasks (the paper's G and F)."""
 
     finished: int
     evicted: int
@@ -304,5 +349,5 @@
 
 
 def raw(record: object) -> Raw:
-    """A record encoded once, ready to be put into a transaction."""
+    """A record encoded once, for use as a value in a transaction."""
     return Raw(encode(record))
--- a/badgerseam/wire/users.py
+++ b/badgerseam/wire/users.py
@@ -1,4 +1,7 @@
-"""What users send and receive."""
+"""The users' protocol: submissions and the states of jobs.
+
+JOB_NAMES maps the fields of a submission to the names of the protocol.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from msgspec import Meta, Struct
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
-Amount10 = Annotated[float, Meta(ge=0, le=1e11)]
+TimeOfDay = Annotated[float, Meta(ge=0, le=1e11)]
 JobId = Annotated[str, Meta(pattern=r"\Ajob-[0-9]{1,18}\Z")]
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 
@@ -38,7 +41,7 @@
 
 
 class Dependency(Struct, frozen=True):
-    """What has to become of another job first: started (`after`), ended (`afterany`), done
+    """What another job must have done first: started (`after`), ended (`afterany`), done
     (`afterok`), or cancelled (`afternotok`)."""
 
     kind: DependencyKind
@@ -52,7 +55,7 @@
     user: Text | None = None
     hold: bool = False
     """Nothing more of it starts until it is released."""
-    begin_at: Amount10 | None = None
+    begin_at: TimeOfDay | None = None
     """Time of day (seconds since 1970) before which nothing of it starts."""
     throttle: Annotated[int, Meta(ge=1, le=100_000)] | None = None
     """Most tasks at once."""
@@ -70,7 +73,7 @@
 
 
 class Submission(Struct, frozen=True, omit_defaults=True, rename=JOB_NAMES):
-    """A job as its user describes it."""
+    """A job as its user describes it; resources are those of one task."""
 
     id: JobId
     job_class: Text
@@ -96,11 +99,12 @@
 
 
 class JobStatus(Struct, frozen=True, omit_defaults=True, rename={"state": "phase"}):
-    """A job's state as its user sees it."""
+    """A job's state as its user sees it (protocol: `phase`)."""
 
     id: str
     state: str
     done: int | None = None
+    """Tasks that have finished; None if the answer does not say."""
     running: int | None = None
 
 
