--- a/badgerseam/options/replicas.py
+++ b/badgerseam/options/replicas.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection
 from typing import Annotated
 
 from msgspec import Meta, Struct, field
@@ -68,45 +67,60 @@
 
 
 MAX_S = 86_400.0
+"""Longest time that an option of replicas may give: a day."""
 
 
-def check(options: ReplicasOptions, teams: Collection[str]) -> list[str]:
-    """What cannot be used, each with its field and its remedy; `teams`: those of the settings."""
-    found: list[str] = []
-    for name, entry in options.classes.items():
-
-        def bad(field_name: str, text: str, name: str = name) -> None:
-            found.append(f"classes.{name}.{field_name}: {text}")
-
-        if entry.tasks is not None and entry.tasks < 1:
-            bad("tasks", f"{entry.tasks} tasks are no replica; give 1 or more, or null for all")
-        if entry.machines_least < 1:
-            bad("machines_least", f"{entry.machines_least} machines hold nothing; give 1 or more")
-        if entry.machines_most is not None and entry.machines_most < 1:
-            bad(
-                "machines_most",
-                f"{entry.machines_most} machines hold nothing; give 1 or more, or null for any "
-                "number",
-            )
-        elif entry.machines_most is not None and entry.machines_least > entry.machines_most:
-            bad(
-                "machines_least",
-                f"{entry.machines_least} is above machines_most ({entry.machines_most}); lower it "
-                "or raise that",
-            )
-        if entry.tasks is not None and 1 <= entry.tasks < entry.machines_least:
-            bad(
-                "machines_least",
-                f"{entry.machines_least} machines for {entry.tasks} tasks leave one without any; "
-                "give no more than tasks",
-            )
-        if entry.moves < 0:
-            bad("moves", f"{entry.moves} is below 0; give 0 to have no replica moved, or more")
-        for field_name, value, least in (
-            ("form_s", entry.form_s, 1.0),
-            ("degraded_s", entry.degraded_s, 0.0),
-            ("drain_s", entry.drain_s, 0.0),
-        ):
-            if not least <= value <= MAX_S:
-                bad(field_name, f"{value:g} s; give {least:g} to {MAX_S:g}")
-    return found
+def check(options: ReplicasOptions) -> list[str]:
+    """What cannot be used, each with its field and its remedy."""
+    return [
+        f"classes.{name}.{error}"
+        for name, entry in options.classes.items()
+        for error in (*_size_errors(entry), *_move_errors(entry), *_time_errors(entry))
+    ]
+
+
+def _size_errors(entry: ReplicaClass) -> list[str]:
+    """Numbers of tasks and machines that no replica can have, or that contradict each other."""
+    errors: list[str] = []
+    if entry.tasks is not None and entry.tasks < 1:
+        errors.append(f"tasks: {entry.tasks} tasks are no replica; give 1 or more, or null for all")
+    if entry.machines_least < 1:
+        errors.append(
+            f"machines_least: {entry.machines_least} machines hold nothing; give 1 or more"
+        )
+    if entry.machines_most is not None and entry.machines_most < 1:
+        errors.append(
+            f"machines_most: {entry.machines_most} machines hold nothing; give 1 or more, or null "
+            "for any number"
+        )
+    elif entry.machines_most is not None and entry.machines_least > entry.machines_most:
+        errors.append(
+            f"machines_least: {entry.machines_least} is above machines_most "
+            f"({entry.machines_most}); lower it or raise that"
+        )
+    if entry.tasks is not None and 1 <= entry.tasks < entry.machines_least:
+        errors.append(
+            f"machines_least: {entry.machines_least} machines for {entry.tasks} tasks leave one "
+            "without any; give no more than tasks"
+        )
+    return errors
+
+
+def _move_errors(entry: ReplicaClass) -> list[str]:
+    if entry.moves < 0:
+        return [f"moves: {entry.moves} is below 0; give 0 to have no replica moved, or more"]
+    return []
+
+
+def _time_errors(entry: ReplicaClass) -> list[str]:
+    """Times out of range."""
+    limits = (
+        ("form_s", entry.form_s, 1.0),
+        ("degraded_s", entry.degraded_s, 0.0),
+        ("drain_s", entry.drain_s, 0.0),
+    )
+    return [
+        f"{field_name}: {value:g} s; give {min_s:g} to {MAX_S:g}"
+        for field_name, value, min_s in limits
+        if not min_s <= value <= MAX_S
+    ]
--- a/badgerseam/options/standby.py
+++ b/badgerseam/options/standby.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection
 from typing import Annotated
 
 from msgspec import Meta, Struct
@@ -48,10 +47,10 @@
     ] = 30.0
 
 
-def check(options: StandbyOptions, claim_ttl_s: float, teams: Collection[str]) -> list[str]:
+def check(options: StandbyOptions, claim_ttl_s: float) -> list[str]:
     """What cannot be used, each with its field and its remedy.
 
-    `claim_ttl_s`: the state lease of a controller, in seconds; `teams`: those of the settings.
+    `claim_ttl_s`: the state lease of a controller, in seconds.
     """
     suspicion_s = options.refusals * options.probe_s + options.answer_s
     if suspicion_s >= claim_ttl_s:
--- a/badgerseam/settings.py
+++ b/badgerseam/settings.py
@@ -342,11 +342,10 @@
     if tunables.classes is not None:
         found += [f"classes.{text}" for text in classes.check(tunables.classes, teams)]
     if tunables.replicas is not None:
-        found += [f"replicas.{text}" for text in replicas.check(tunables.replicas, teams)]
+        found += [f"replicas.{text}" for text in replicas.check(tunables.replicas)]
     if tunables.standby is not None:
         found += [
-            f"standby.{text}"
-            for text in standby.check(tunables.standby, tunables.claim_ttl_s, teams)
+            f"standby.{text}" for text in standby.check(tunables.standby, tunables.claim_ttl_s)
         ]
     if found:
         raise SettingsError("\n".join(f"{path}: {text}" for text in found))
