--- a/badgerseam/api/classes.py
+++ b/badgerseam/api/classes.py
@@ -35,7 +35,7 @@
 
     async def _set(self, body: bytes) -> Reply:
         try:
-            options = wire.wish_decoder.decode(body)
+            options = wire.options_decoder.decode(body)
         except msgspec.DecodeError as error:
             return escaped_error_reply(400, str(error))
         errors = check(options, self._model.team_index)
--- a/badgerseam/api/confirmations.py
+++ b/badgerseam/api/confirmations.py
@@ -1,4 +1,4 @@
-"""Linearizable reads: a cached record is confirmed against the state service before it is told."""
+"""Linearizable reads: a cached record is confirmed against the state service before use."""
 
 from __future__ import annotations
 
--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -166,7 +166,7 @@
             )
             questions = ExplainApi(self.model, self.explainer, tunables.explain)
             self.peers.answer_questions_with(
-                self.explainer.for_sibling,
+                self.explainer.for_peer,
                 lambda: self.fleet.view() if self.membership.is_leader else None,
             )
         batch: BatchApi | None = None
--- a/badgerseam/settings.py
+++ b/badgerseam/settings.py
@@ -145,7 +145,7 @@
     ] = 20.0
     processor_part: Annotated[
         float,
-        Meta(gt=0, le=0.5, description="part of a core that surveys of a share may take"),
+        Meta(gt=0, le=0.5, description="part of a core that surveys of a shard may take"),
     ] = 0.05
     slice_ms: Annotated[
         float, Meta(gt=0, le=50, description="how long a survey holds the event loop at a time")
@@ -156,11 +156,11 @@
     ] = 5.0
     sample_s: Annotated[
         float,
-        Meta(ge=0, description="interval of looking at all that waits; 0: only when asked"),
+        Meta(ge=0, description="interval of surveys of all that waits; 0: only on request"),
     ] = 0.0
     gap_s: Annotated[
         float,
-        Meta(gt=0, description="looks further apart than this do not count as one spell"),
+        Meta(gt=0, description="surveys further apart than this are not counted as one period"),
     ] = 4.0
     most_jobs: Annotated[int, Meta(ge=1, description="jobs whose transitions are kept")] = 2000
     most_transitions: Annotated[int, Meta(ge=2, description="transitions kept of each")] = 16
@@ -182,7 +182,7 @@
     ] = 100_000
     attempts: Annotated[bool, Meta(description="keep a log of attempts as well")] = True
     log_s: Annotated[
-        float, Meta(gt=0, description="interval of writing the log, one value a share")
+        float, Meta(gt=0, description="interval of writing the log, one value a shard")
     ] = 10.0
     log_days: Annotated[float, Meta(gt=0, description="how long the log is kept")] = 90.0
 
@@ -218,7 +218,7 @@
         float,
         Meta(
             gt=0,
-            description="interval in which a share's replicas are moved off one machine that "
+            description="interval in which a shard's replicas are moved off one machine that "
             "others have room for",
         ),
     ] = 3.0
--- a/badgerseam/wire/accounting.py
+++ b/badgerseam/wire/accounting.py
@@ -1,4 +1,4 @@
-"""A job's summary in its final record, and as it is told."""
+"""Accounting: stored summaries of jobs and attempts, and the lines that users get of them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     ended: float
     attempts: int = 0
     unmeasured: int = 0
-    """Attempts whose times nobody saw: an earlier owner's, or never seen to run."""
+    """Attempts whose times are not known: an earlier owner's, or never seen to run."""
     useful_s: float = 0.0
     wasted_s: float = 0.0
     spot_s: float = 0.0
@@ -40,7 +40,7 @@
 
 
 class AttemptRecord(Struct, frozen=True, array_like=True):
-    """What a controller has seen of an attempt's end. Times of day in seconds since 1970."""
+    """The stored record of an attempt that ended. Times of day in seconds since 1970."""
 
     job: str
     task: int
@@ -53,7 +53,7 @@
     ended: float
     cause: str
     seconds: float | None = None
-    """It ran, if that was seen from its start on."""
+    """For how long it ran, if that was observed from its start on."""
     money: float = 0.0
     by: str | None = None
     """The job that it was evicted for."""
@@ -62,7 +62,7 @@
 
 
 class AttemptLine(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """An attempt as it is told."""
+    """An attempt that ended, as users get it."""
 
     id: str
     task: int
@@ -85,9 +85,9 @@
 
     records: int
     attempts: int
-    """That the job's summary counts; fewer records: an owner ended before it wrote them."""
+    """As the job's summary counts them; with fewer records, an owner ended before it wrote them."""
     whole: bool
-    """Whether all of the log was looked at that may hold its records."""
+    """Whether all of the log was read that may have its records."""
 
 
 class AccountingLine(Struct, frozen=True, omit_defaults=True, rename="camel"):
@@ -151,7 +151,7 @@
 
 
 def accounting_line(job_id: str, state: str, tasks: int, usage: Usage) -> AccountingLine:
-    """A stored summary as it is told."""
+    """The line of a stored summary."""
     ends = {cause: count for cause, count in zip(CAUSES, usage.causes, strict=False) if count}
     return AccountingLine(
         job_id,
@@ -181,7 +181,7 @@
 
 
 def attempt_line(record: AttemptRecord) -> AttemptLine:
-    """A stored record as it is told."""
+    """The line of a stored record."""
     return AttemptLine(
         record.job,
         record.task,
--- a/badgerseam/wire/batch.py
+++ b/badgerseam/wire/batch.py
@@ -50,12 +50,12 @@
     waiting: int = 0
     submitted_at: float | None = None
     held_by: str | None = None
-    """The term that holds it back."""
+    """The unmet term that keeps its tasks from starting."""
     spec: Submission | None = None
 
 
 class MachineRow(Struct, frozen=True, rename="camel"):
-    """Machines that are alike."""
+    """Machines of the same type, zone, kind and state."""
 
     type: str
     zone: str
--- a/badgerseam/wire/classes.py
+++ b/badgerseam/wire/classes.py
@@ -1,4 +1,4 @@
-"""What is said to operators about priority classes."""
+"""Priority classes, as operators get and set them."""
 
 from __future__ import annotations
 
@@ -33,14 +33,13 @@
     objections: list[Objection]
     """Who disagrees with these options."""
     waiting: dict[str, int]
-    """Tasks that wait, by the class they belong to."""
+    """Waiting tasks by class."""
     jumps: int
-    """Starts of lower classes ahead of higher ones that would have had the very room, in plans of
-    the controller that was asked, since it started."""
+    """Priority inversions in plans of the controller that was asked, since it started."""
     held: int
-    """Plans of it in which room was kept from lower classes."""
+    """Plans of that controller in which capacity was reserved from lower classes."""
 
 
 view_decoder: msgspec.json.Decoder[ClassesView] = msgspec.json.Decoder(ClassesView)
-wish_decoder: msgspec.json.Decoder[ClassesOptions] = msgspec.json.Decoder(ClassesOptions)
+options_decoder: msgspec.json.Decoder[ClassesOptions] = msgspec.json.Decoder(ClassesOptions)
 encode = msgspec.json.Encoder().encode
--- a/badgerseam/wire/explain.py
+++ b/badgerseam/wire/explain.py
@@ -1,4 +1,4 @@
-"""Why a job waits, as users and controllers are told."""
+"""Why a job waits: the answers to users, and the questions between controllers."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     machines: int | None = None
     """Machines that it rules out, whatever else rules them out too."""
     since_s: float | None = None
-    """For how long at least it has held without a break, as far as this owner has looked."""
+    """For how many seconds at least it has held without a gap, as far as surveys show it."""
     expected_s: float | None = None
     """In how many seconds it should end, by estimates that are often wrong by half."""
     change: str | None = None
@@ -81,7 +81,7 @@
 
 
 class Ahead(Struct, frozen=True, rename="camel"):
-    """What waits before the job in the order of the plan."""
+    """The jobs and tasks before the job in the order of the plan."""
 
     jobs: int
     tasks: int
@@ -89,7 +89,8 @@
 
 
 class Transition(Struct, frozen=True, rename="camel"):
-    """What was seen to hold a job back, and when first and last (seconds before the answer)."""
+    """Reasons that held a job back, and when they were first and last observed (seconds before the
+    answer)."""
 
     first_s: float
     last_s: float
@@ -104,42 +105,43 @@
     groups: list[Group] = field(default_factory=list)
     ahead: Ahead | None = None
     node: str | None = None
-    """The controller that plans for it, and says this."""
+    """The controller that plans for it, and answers."""
     revision: int | None = None
     """Of the state that the answer was made from."""
     age_s: float = 0.0
-    """How long ago the answer was made."""
+    """How old the survey is that the answer was made from, in seconds."""
     known_s: float | None = None
-    """How long this owner has acted for the job; what was before is unknown to it."""
+    """For how many seconds this owner has acted for the job; it knows nothing from before."""
     history: list[Transition] = field(default_factory=list)
 
     @property
     def binding(self) -> list[Code]:
         """The codes that hold the job back, the binding ones."""
-        return [r.code for group in self.groups for r in group.reasons if r.binding]
+        return [reason.code for group in self.groups for reason in group.reasons if reason.binding]
 
 
 class Question(Struct, frozen=True, rename={"shard": "share"}):
-    """A controller asks the owner of a share about its jobs."""
+    """A controller asks the owner of a shard about its jobs."""
 
     shard: int
+    """`share` on the wire."""
     jobs: list[str]
 
 
 class Answers(Struct, frozen=True):
-    """What the owner knows; jobs that it has not read yet are missing."""
+    """The owner's answers; jobs that it has not read yet are missing."""
 
     answers: list[Why]
 
 
 class Blocked(Struct, frozen=True, rename="camel"):
-    """Something that the cloud had none of when it was last asked."""
+    """An offer of the cloud that had no capacity when it was last requested."""
 
     type: str
     zone: str
     spot: bool
     again_s: float
-    """In how long it is asked again."""
+    """In how many seconds it is requested again."""
 
 
 class CloudView(Struct, frozen=True, rename="camel"):
@@ -147,12 +149,12 @@
 
     blocked: list[Blocked]
     unreachable_s: float | None = None
-    """For how long it has not answered, if it does not."""
+    """For how many seconds the cloud has not answered; None if it does."""
     error: str | None = None
 
 
 class QueueLine(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """An open job in the list of all."""
+    """One job in the list of all open jobs."""
 
     id: str
     phase: str
@@ -166,7 +168,7 @@
     age_s: float
     reasons: list[Code] = field(default_factory=list)
     text: str | None = None
-    """The first reason's statement; None if nobody could say."""
+    """The first reason's text; None if it is not known."""
     name: str | None = None
     user: str | None = None
     types: list[str] | None = None
--- a/badgerseam/wire/rollout.py
+++ b/badgerseam/wire/rollout.py
@@ -1,4 +1,4 @@
-"""What is said about a rollout: to operators, and by a controller that leaves to its heirs."""
+"""Rollouts: the state as operators get it, and the requests of a controller that drains."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class TakeoverRequest(Struct, frozen=True):
-    """A controller that is leaving asks a sibling to take one of its claims over."""
+    """A controller that drains asks a peer to take over one of its claims."""
 
     key: str
     version: int
-    """The stamp under which the claim is held: it falls only to one that replaces just that."""
+    """The version of the claim's record: the peer replaces only that one."""
 
 
 class Obstacle(Struct, frozen=True):
@@ -28,7 +28,7 @@
 
     node: str
     state: str
-    """`acting`, `aside` (takes no share) or `missing` (no record on a live lease)."""
+    """`acting`, `aside` (claims no shard) or `missing` (no record on a live lease)."""
     min_level: int | None
     max_level: int | None
     program: str
@@ -57,7 +57,7 @@
     pending: list[int]
     """Levels whose older form is still to be carried over."""
     scanned: int
-    """Records looked at in the pass that goes on."""
+    """Records examined in the present pass."""
     old: int
     """Of these, in the older form."""
     rewritten: int
--- a/badgerseam/wire/runs.py
+++ b/badgerseam/wire/runs.py
@@ -1,4 +1,4 @@
-"""What is said about reckoning runs."""
+"""Reckoning runs, as operators get them."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     by: str
     """The controller that wrote it."""
     members: dict[str, int] = field(default_factory=dict)
-    """How many stand in which way; of a closed one: reckoned, withdrawn and unresolved."""
+    """Members by state; of a closed run: reckoned, withdrawn and unresolved."""
     reasons: dict[str, int] = field(default_factory=dict)
-    """Why members of a closed one are unresolved, and how many."""
+    """Why members of a closed run are unresolved, and how many."""
     next: int = 0
-    """Of the latest run: members accepted for the one after it."""
+    """Of the latest run: tasks accepted for the one after it."""
 
 
 class RunList(Struct, frozen=True):
@@ -34,7 +34,7 @@
 
 
 class MemberView(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """A member, or those of a job that has ended, together."""
+    """A member, or all members in one state of a job that has ended."""
 
     member: str
     """Such as job-000412/3; of an ended job its id."""
@@ -44,9 +44,9 @@
     """The latest one."""
     machine: str | None = None
     running_s: float | None = None
-    """Since it began to run, as far as that is known."""
+    """Seconds since it began to run, as far as that is known."""
     kept_s: float | None = None
-    """Of this, what its checkpoints keep by their interval."""
+    """The part of this that its latest checkpoint has saved, by the interval of checkpoints."""
     failures: int = 0
 
 
@@ -55,7 +55,7 @@
 
     members: list[MemberView]
     after: str | None = None
-    """To go on from; absent at the end."""
+    """Where the next page begins; absent on the last one."""
 
 
 run_decoder: msgspec.json.Decoder[RunView] = msgspec.json.Decoder(RunView)
--- a/badgerseam/wire/standby.py
+++ b/badgerseam/wire/standby.py
@@ -1,4 +1,4 @@
-"""What a controller says to the ones that stand by for it."""
+"""Soft state: what an owner sends to the controllers that would take over from it."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class FollowRequest(Struct, frozen=True):
-    """Asks to be told; the answer is held for a while, so that the end of the connection tells of
-    the end of the process."""
+    """Asks for soft state. The answer is delayed for a while, so that the end of the connection
+    shows the end of the process."""
 
     node: str
     process: str = ""
-    """The one that answered before, whose hints the asker has."""
+    """The process that answered before, whose hints the requester has."""
     number: int = 0
-    """Of the latest answer that has come."""
+    """The number of the latest answer that was received."""
 
 
 class MachineHint(Struct, frozen=True, array_like=True):
@@ -24,14 +24,14 @@
     address: str
     incarnation: int
     fencing_token: int
-    """The highest one that it has shown."""
+    """The highest token that the worker has shown."""
     evictions: list[float]
     """How long ago each recent one was, in seconds."""
     images: list[str]
 
 
 class ShardHint(Struct, frozen=True, array_like=True):
-    """What changed of an owned share since it was told last."""
+    """The changes of an owned shard since the answer before."""
 
     shard: int
     term: int
@@ -41,39 +41,40 @@
 
 
 class BlockedHint(Struct, frozen=True, array_like=True):
-    """An offer without capacity, as the leader found it."""
+    """An offer of the cloud without capacity, as the leader found it."""
 
     type: str
     zone: str
     spot: bool
     for_s: float
-    """How long it is still to be left alone."""
+    """For how many seconds it is not to be requested."""
     pause_s: float
 
 
 class SoftStateUpdate(Struct, frozen=True, rename={"holds_claims": "held", "shards": "shares"}):
-    """An answer."""
+    """The answer to a request to follow."""
 
     process: str
-    """Names the process: one that answers again after its lease was ended needlessly is told by it
-    from one that was started anew."""
+    """Identifies the process: it distinguishes one that answers again, after its lease was ended
+    needlessly, from one that was started anew."""
     number: int = 0
-    """Rises by one with each answer to the same asker."""
+    """Rises by one with each answer to the same requester."""
     holds_claims: bool = True
-    """It was held; otherwise it is to be asked again only after a while."""
+    """`held` on the wire: whether the answer was delayed; if not, the next request has to wait for
+    a while."""
     shards: list[ShardHint] = field(default_factory=list)
     leader_term: int = 0
     blocked: list[BlockedHint] = field(default_factory=list)
 
 
 class PeerViewRequest(Struct, frozen=True):
-    """Asks how a sibling sees another one."""
+    """Asks a peer how it sees another one."""
 
     node: str
 
 
 class PeerView(Struct, frozen=True):
-    """Connections that it refused or reset in a row, when it was asked last."""
+    """How a peer sees another controller: connections refused or reset in a row."""
 
     refused: int
 
