--- a/badgerseam/replicas/observed_state.py
+++ b/badgerseam/replicas/observed_state.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from badgerseam.model.job import FINISHED, AttemptHost, Job, Stage
+from collections.abc import Callable
+
+from badgerseam.model.job import FINISHED, Attempt, AttemptHost, Job, Stage
 from badgerseam.model.model import Model
 from badgerseam.replicas.phases import ObservedMembers
 from badgerseam.replicas.reservations import Reservations
@@ -46,40 +48,28 @@
         self, job: Job, tasks: range, durable: bool, reservation_usable: bool, may_move: bool
     ) -> ObservedMembers:
         """The members as they are now; the last three are those of `ObservedMembers`."""
-        absent, planned, placed, running, unseen = set(), set(), set(), set(), set()
-        stopping, unresponsive, draining = set(), set(), set()
-        for task in tasks:
-            if job.status[task] == FINISHED:
-                continue
-            attempt = job.attempts.get(task)
-            if attempt is None:
-                absent.add(task)
-                continue
-            machine = attempt.machine
-            self._reservations.note_member(job, task, machine)
-            if attempt.stage == Stage.PLANNED:
-                planned.add(task)
-            elif attempt.stage >= Stage.RUNNING:
-                running.add(task)
-            else:
-                placed.add(task)
-                if attempt.unseen and attempt.stage == Stage.PLACED:
-                    unseen.add(task)
-            if attempt.stopping or attempt.stage == Stage.CHECKPOINTING:
-                stopping.add(task)
-            if self.is_unresponsive(machine):
-                unresponsive.add(task)
-            elif machine.draining:
-                draining.add(task)
+        unfinished = [task for task in tasks if job.status[task] != FINISHED]
+        attempts = {
+            task: attempt for task in unfinished if (attempt := job.attempts.get(task)) is not None
+        }
+        for task, attempt in attempts.items():
+            self._reservations.note_member(job, task, attempt.machine)
+
+        def members(condition: Callable[[Attempt], bool]) -> frozenset[int]:
+            return frozenset(task for task, attempt in attempts.items() if condition(attempt))
+
+        unresponsive = members(lambda attempt: self.is_unresponsive(attempt.machine))
         return ObservedMembers(
-            absent=frozenset(absent),
-            planned=frozenset(planned),
-            placed=frozenset(placed),
-            running=frozenset(running),
-            unseen=frozenset(unseen),
-            stopping=frozenset(stopping),
-            unresponsive=frozenset(unresponsive),
-            draining=frozenset(draining),
+            absent=frozenset(unfinished) - attempts.keys(),
+            planned=members(lambda attempt: attempt.stage == Stage.PLANNED),
+            placed=members(lambda attempt: Stage.PLANNED < attempt.stage < Stage.RUNNING),
+            running=members(lambda attempt: attempt.stage >= Stage.RUNNING),
+            unseen=members(lambda attempt: attempt.unseen and attempt.stage == Stage.PLACED),
+            stopping=members(
+                lambda attempt: attempt.stopping or attempt.stage == Stage.CHECKPOINTING
+            ),
+            unresponsive=unresponsive,
+            draining=members(lambda attempt: attempt.machine.draining) - unresponsive,
             durable=durable,
             reservation_usable=reservation_usable,
             since=self._model.shards[job.shard].owned_since,
--- a/badgerseam/replicas/phases.py
+++ b/badgerseam/replicas/phases.py
@@ -78,7 +78,7 @@
     running: frozenset[int] = NO_MEMBERS
     """A heartbeat has shown them running."""
     unseen: frozenset[int] = NO_MEMBERS
-    """Of `placed`: placed by an earlier owner, which may have seen them run."""
+    """Of `placed`: placed by an earlier owner, which may have observed them running."""
     stopping: frozenset[int] = NO_MEMBERS
     """Of those with a machine: a stop is sent, or is to be sent."""
     unresponsive: frozenset[int] = NO_MEMBERS
--- a/badgerseam/replicas/requests.py
+++ b/badgerseam/replicas/requests.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from badgerseam.levels.table import Behaviour
-from badgerseam.model.job import IDLE, Job
+from badgerseam.model.job import IDLE, AttemptHost, Job
 from badgerseam.model.model import Model
 from badgerseam.replicas.reservations import ReplicaKey, Reservations
 from badgerseam.replicas.shapes import ReplicaShape
@@ -58,13 +58,7 @@
         there is no capacity beside the members that stay, the whole replica may be moved.
         """
         rules = shape.rules
-        staying = [
-            attempt.machine
-            for task in shape.tasks(number)
-            if task not in needed
-            and (attempt := job.attempts.get(task)) is not None
-            and not attempt.finishing
-        ]
+        staying = _machines_of_staying_members(job, shape.tasks(number), needed)
         base = self._planner.request(job, 1)
         gang_rules = GangRules(
             number,
@@ -104,3 +98,15 @@
         zones.sort(key=lambda zone: job.zones.get(zone, 0))
         waited_s = self._model.clock.now() - job.last_seen_at
         return zones[int(waited_s / ZONE_TURN_S) % len(zones)]
+
+
+def _machines_of_staying_members(
+    job: Job, tasks: range, needed: Collection[int]
+) -> list[AttemptHost]:
+    return [
+        attempt.machine
+        for task in tasks
+        if task not in needed
+        and (attempt := job.attempts.get(task)) is not None
+        and not attempt.finishing
+    ]
--- a/badgerseam/runs/run_lifecycle.py
+++ b/badgerseam/runs/run_lifecycle.py
@@ -32,6 +32,14 @@
 MAX_WRITE_DELAY_S = 1.0
 """How long a transition waits behind ends of jobs: until a run opens, all of its members wait."""
 
+WRITE_ERRORS = (
+    ConditionFailedError,
+    StateUnavailableError,
+    ProposalDroppedError,
+    LeaseExpiredError,
+)
+"""A transition that failed with one of these is decided anew, by what is observed then."""
+
 
 class RunLifecycle:
     """Writes, on the leader, the next phase of each plan's run when it is due."""
@@ -91,12 +99,7 @@
             await self._committer.commit(
                 Urgency.DONE, conditions, [write], DEADLINE_S, wanted, MAX_WRITE_DELAY_S
             )
-        except (
-            ConditionFailedError,
-            StateUnavailableError,
-            ProposalDroppedError,
-            LeaseExpiredError,
-        ) as error:
+        except WRITE_ERRORS as error:
             log.info(
                 "run transition failed plan=%s run=%d phase=%s error=%r",
                 name,
