--- a/badgerseam/fleet/evacuation.py
+++ b/badgerseam/fleet/evacuation.py
@@ -1,4 +1,4 @@
-"""Which machines of other shards are vacated for work that cannot be placed in its own."""
+"""Which machines of other shards are evacuated for work that cannot be placed in its own."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from badgerseam.sched.planner import Planner
 
 EVACUATION_INTERVAL_S = 3.0
-"""How long HP work, or a claim to a guarantee, waits before machines of another shard are vacated,
-and between evacuations for one shard."""
+"""How long HP work, or a claim to a guarantee, waits before machines of another shard are
+evacuated, and the time between evacuations for one shard."""
 MAX_EVACUATED = 4
-"""Machines vacated at a time for one shard."""
+"""Machines evacuated at a time for one shard."""
 
 
 class Evacuation:
-    """Selects machines to be vacated for work of other shards.
+    """Selects machines to be evacuated for work of other shards.
 
     The paper's plan evicts within a shard. For HP work, and for what a team claims of its
     guarantee, low-priority work and borrowers of other shards are in the way as well, where they
@@ -28,8 +28,8 @@
     def __init__(self, model: Model, planner: Planner) -> None:
         self._model = model
         self._planner = planner
-        self._vacated_at: dict[int, float] = {}
-        """By the shard for which machines were vacated."""
+        self._evacuated_at: dict[int, float] = {}
+        """By the shard for which machines were evacuated."""
 
     def select(
         self,
@@ -38,7 +38,7 @@
         moving: set[str],
         now: float,
     ) -> dict[int, list[Machine]]:
-        """Machines to be vacated, by the shard that is to get them.
+        """Machines to be evacuated, by the shard that is to get them.
 
         None for a shard for which machines are rented. `moving`: names of machines that are on
         their way to a shard already.
@@ -49,7 +49,7 @@
             waiting = decisions.waiting[shard]
             if not waiting or any(rented_for == shard for _, rented_for in decisions.rents):
                 continue
-            if now - self._vacated_at.get(shard, -1e9) < EVACUATION_INTERVAL_S:
+            if now - self._evacuated_at.get(shard, -1e9) < EVACUATION_INTERVAL_S:
                 continue
             for request in in_level_order(snapshot.requests):
                 if not self._may_evacuate(snapshot, request, waiting, now):
@@ -59,7 +59,7 @@
                 count = waiting[request.job]
                 chosen = self._cheapest(shard, request, count, borrowers or set(), moving, now)
                 if chosen:
-                    self._vacated_at[shard] = now
+                    self._evacuated_at[shard] = now
                     selected[shard] = chosen
                     break
         return selected
@@ -67,7 +67,7 @@
     def _may_evacuate(
         self, snapshot: pts.Snapshot, request: pts.Request, waiting: dict[int, int], now: float
     ) -> bool:
-        """Whether machines may be vacated for a request: HP work or a claim that has waited."""
+        """Whether machines may be evacuated for a request: HP work or a claim that has waited."""
         job = self._model.jobs[request.job]
         if request.job not in waiting or job is None or job.is_failing:
             return False
@@ -101,7 +101,7 @@
         for machine in self._model.machines.values():
             if machine.shard == shard or machine.name in moving:
                 continue
-            if not self._may_vacate(machine, request, borrowers):
+            if not self._may_be_evacuated(machine, request, borrowers):
                 continue
             if not pts.job_rules_allow(request, self._planner.node(machine, now)):
                 continue
@@ -119,7 +119,9 @@
             count -= request.demand.count_in(machine.total)
         return chosen
 
-    def _may_vacate(self, machine: Machine, request: pts.Request, borrowers: set[int]) -> bool:
+    def _may_be_evacuated(
+        self, machine: Machine, request: pts.Request, borrowers: set[int]
+    ) -> bool:
         """Whether a request may have all work on a machine stopped.
 
         HP work may that of low priority, any other request that of borrowers only.
--- a/badgerseam/fleet/machine_moves.py
+++ b/badgerseam/fleet/machine_moves.py
@@ -20,7 +20,7 @@
 FOLLOW_INTERVAL_S = 0.05
 
 TransferMachines = Callable[[list[Machine], int, bool], Awaitable[set[str]]]
-"""Passes machines on to a shard, or has them vacated for it; the names for which that is done."""
+"""Passes machines on to a shard, or has them evacuated for it; the names for which that is done."""
 
 
 class MachineMoves:
@@ -40,33 +40,33 @@
         self.arriving: dict[str, int] = {}
         """Machines that are being passed on now, and the shard that gets them."""
 
-    def start(self, machines: list[Machine], shard: int, vacate: bool = False) -> None:
-        """Have machines moved to a shard, or vacated for it, by the owners of their shards."""
+    def start(self, machines: list[Machine], shard: int, evacuate: bool = False) -> None:
+        """Have machines moved to a shard, or evacuated for it, by the owners of their shards."""
         by_origin: dict[int, list[Machine]] = {}
         for machine in machines:
             self.in_progress.add(machine.name)
             by_origin.setdefault(machine.shard, []).append(machine)
         for part in by_origin.values():
-            self._spawn(self._move(part, shard, vacate))
+            self._spawn(self._move(part, shard, evacuate))
 
-    async def _move(self, machines: list[Machine], shard: int, vacate: bool) -> None:
+    async def _move(self, machines: list[Machine], shard: int, evacuate: bool) -> None:
         names = {machine.name for machine in machines}
-        passes_on = not vacate and shard != NO_SHARD
+        passes_on = not evacuate and shard != NO_SHARD
         if passes_on:
             self.arriving.update(dict.fromkeys(names, shard))
         try:
-            done = await self._transfer_machines(machines, shard, vacate)
+            done = await self._transfer_machines(machines, shard, evacuate)
             if passes_on:
                 await self._wait_until_followed(machines, done, shard)
             self._drop_arriving(names)
-            if vacate:
+            if evacuate:
                 # Their owner passes them on when their work has been stopped.
                 await asyncio.sleep(2 * EVACUATION_INTERVAL_S)
             elif passes_on and done:
                 log.info("machines moved shard=%d machines=%s", shard, ",".join(sorted(done)))
             self.in_progress -= done
             names -= done
-            if names and not vacate:
+            if names and not evacuate:
                 # Not empty, or their owner does not answer.
                 await asyncio.sleep(RETRY_INTERVAL_S)
         finally:
--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -89,8 +89,10 @@
 
         await asyncio.gather(*(give_up(batch, key[1]) for key, batch in batches.items()))
 
-    async def transfer(self, machines: list[Machine], shard: int, vacate: bool = False) -> set[str]:
-        """Pass empty machines of a shard on to another, or with `vacate` have their work stopped.
+    async def transfer(
+        self, machines: list[Machine], shard: int, evacuate: bool = False
+    ) -> set[str]:
+        """Pass empty machines of a shard on to another, or with `evacuate` have their work stopped.
 
         Returns the names for which that is done.
         """
@@ -102,12 +104,12 @@
                     # Repeated by a leader that has not followed the move yet. Written again in its
                     # place the machine went on draining, and was released.
                     done.add(machine.name)
-                elif vacate and shard == NO_SHARD:
+                elif evacuate and shard == NO_SHARD:
                     if not machine.draining and self._may_consolidate(machine):
                         log.info("machine draining machine=%s reason=consolidation", machine.name)
                         machine.draining = True
                         done.add(machine.name)
-                elif vacate and not machine.draining and self._has_only_low_priority(machine):
+                elif evacuate and not machine.draining and self._has_only_low_priority(machine):
                     log.info(
                         "machine draining machine=%s reason=evacuation shard=%d",
                         machine.name,
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -245,15 +245,15 @@
             consolidated_at = self._consolidated_at.get(shard, -1e9)
             if now - consolidated_at >= self._tunables.consolidate_s:
                 self._consolidated_at[shard] = now
-                self._moves.start([self._model.machines[index]], NO_SHARD, vacate=True)
+                self._moves.start([self._model.machines[index]], NO_SHARD, evacuate=True)
 
     def _start_evacuation(
         self, snapshots: list[pts.Snapshot], decisions: policy.FleetDecisions, now: float
     ) -> None:
-        """Have machines of other shards vacated for work that cannot be placed in its own."""
+        """Have machines of other shards evacuated for work that cannot be placed in its own."""
         selected = self._evacuation.select(snapshots, decisions, self._moves.in_progress, now)
         for shard, machines in selected.items():
-            self._moves.start(machines, shard, vacate=True)
+            self._moves.start(machines, shard, evacuate=True)
 
     def _start_rentals(self, decisions: policy.FleetDecisions) -> None:
         shards_by_offer: dict[Offer, list[int]] = {}
