--- a/badgerseam/api/run_members.py
+++ b/badgerseam/api/run_members.py
@@ -57,12 +57,9 @@
         """Members behind the cursor, by their job's queue position and their task's number; None
         if the cursor's job is not in the run. `state` filters them; None: all."""
         jobs = self._jobs_in_order(plan, number)
-        begin = 0
-        if cursor is not None:
-            job_ids = [entry.job_id for entry in jobs]
-            if cursor.job_id not in job_ids:
-                return None
-            begin = job_ids.index(cursor.job_id) + (cursor.task is None)
+        begin = _first_position(jobs, cursor)
+        if begin is None:
+            return None
         views: list[wire.MemberView] = []
         slice_size = 0
         for position in range(begin, len(jobs)):
@@ -144,6 +141,16 @@
         )
 
 
+def _first_position(jobs: list[_MemberJob], cursor: MemberCursor | None) -> int | None:
+    """Where the page begins among the jobs; None if the cursor's job is not one of them."""
+    if cursor is None:
+        return 0
+    job_ids = [entry.job_id for entry in jobs]
+    if cursor.job_id not in job_ids:
+        return None
+    return job_ids.index(cursor.job_id) + (cursor.task is None)
+
+
 def _ended_views(job_id: str, ended: EndedJob | None, state: str | None) -> list[wire.MemberView]:
     """The members of an ended job, one entry for all in the same state."""
     if ended is None:
--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -172,6 +172,7 @@
 
 
 def _cloud_reasons(model: Model, view: CloudView | None, request: Request) -> list[Reason]:
+    """Why no more machines can be rented, or that this is not known."""
     if view is None:
         return [
             Reason(
@@ -189,7 +190,12 @@
                 change="The cloud's interface answers again.",
             )
         ]
-    blocked = {Offer(b.type, b.zone, b.spot): b.again_s for b in view.blocked}
+    return _capacity_reasons(model, view, request)
+
+
+def _capacity_reasons(model: Model, view: CloudView, request: Request) -> list[Reason]:
+    """The reason of a cloud that refuses all offers which could take the tasks."""
+    blocked = {Offer(entry.type, entry.zone, entry.spot): entry.again_s for entry in view.blocked}
     offers = [option.offer for option in options(model.types, set())]
     useful = []
     for offer in offers:
