--- a/badgerseam/model/state.py
+++ b/badgerseam/model/state.py
@@ -62,6 +62,9 @@
     """Up to which level all records have been migrated."""
 
 
+CLOCK_DRIFT = 1.001
+"""Factor on the lease of a worker: steady clocks differ by up to 0.05 % each, and the rest is for
+slow code."""
 STALE_S = 4.0
 """How old a controller's state may be at most for it to answer in another's place: some intervals
 of the watch."""
--- a/badgerseam/workers/lease_expiry.py
+++ b/badgerseam/workers/lease_expiry.py
@@ -14,6 +14,7 @@
 from badgerseam.model.job import Stage
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
+from badgerseam.model.state import CLOCK_DRIFT
 from badgerseam.settings import Tunables
 from badgerseam.wire import workers as wire
 from badgerseam.workers.command_acks import (
@@ -31,8 +32,6 @@
 """Heartbeat intervals without a heartbeat after which a machine is probed."""
 RECENT_INTERVALS = 1.5
 """Heartbeat intervals within which any machine that can reach us has sent a heartbeat."""
-CLOCK_DRIFT = 1.001
-"""Steady clocks differ by up to 0.05 % each; the rest is for slow code."""
 
 
 @dataclass(slots=True)
--- a/tests/model/test_quota.py
+++ b/tests/model/test_quota.py
@@ -210,7 +210,7 @@
     knows_the_job: bool,
 ) -> None:
     # A controller that is behind carries a user's cancellation out. What it follows afterwards
-    # still says where the job's tasks are, and it may own the share then.
+    # still says where the job's tasks are, and it may own the shard then.
     rig = ControllerFixture([Team("red", 0, 8), Team("blue", 0, 8)])
     spec = submission(JOB, pieces=4, cpus=2.0)
     rig.claim(node="n-1", lease=100)
