--- a/badgerseam/workers/__init__.py
+++ b/badgerseam/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Heartbeats, commands and the fencing of commands in flight."""
+"""Worker heartbeats and leases, commands, and the fencing of commands in flight."""
--- a/badgerseam/workers/command_queue.py
+++ b/badgerseam/workers/command_queue.py
@@ -1,4 +1,4 @@
-"""The commands that a worker has to execute next."""
+"""Determines the commands that a worker has to execute next."""
 
 from __future__ import annotations
 
@@ -14,25 +14,26 @@
 REAP = "reap"
 
 MAX_COMMANDS = 300
-"""Commands in one response; some 90 bytes each, well within a line of 64 KiB."""
+"""Maximum number of commands of a kind in one response; at about 90 bytes each they stay well
+within the limit of 64 KiB per line."""
 
 
 class CommandQueue:
     """Derives a worker's commands from its reported tasks and the attempts placed on it.
 
-    Callers hold the model's lock.
+    Callers must hold the model's lock.
     """
 
     def __init__(self, model: Model) -> None:
         self._model = model
 
     def collect(self, machine: Machine, direct: bool) -> list[wire.Command]:
-        """Return the commands to send now, and mark them as sent.
+        """Returns the commands to send now, and marks them as sent.
 
-        `direct`: they go in a direct command, not in the response to a heartbeat.
+        `direct`: whether they are sent in a direct command instead of the response to a heartbeat.
 
-        Reaps come first, since the earlier attempt of a task blocks its launch; then halts, then
-        launches. Nothing is returned while a direct command is in flight.
+        Reaps come first, since an earlier attempt of a task blocks its launch; then halts, then
+        launches. No commands are returned while a direct command is in flight.
         """
         if machine.command_in_flight:
             return []
@@ -44,7 +45,7 @@
     def _reaps_and_halts_of_reported_tasks(
         self, machine: Machine, direct: bool
     ) -> list[wire.Command]:
-        """Reaps of tasks that have exited, then halts of running ones that have no attempt here."""
+        """Returns reaps of exited tasks, then halts of active tasks that have no attempt here."""
         reaps: list[wire.Command] = []
         halts: list[wire.Command] = []
         for status in machine.reported_tasks.values():
@@ -67,8 +68,8 @@
     ) -> bool:
         """Whether an exited task may be reaped.
 
-        A completed task is reaped once its completion is durable; any other one once no launch of
-        it can still be in flight, since a late launch would start it again.
+        A completed task may be reaped once its completion is durable, any other task once no launch
+        of it can still be in flight, since a late launch would start it again.
         """
         if attempt is not None and attempt.finishing:
             return False
@@ -77,7 +78,7 @@
         return found is None or self._model.failure_is_recorded(*found, status.attempt)
 
     def _halts_of_stopping_attempts(self, machine: Machine, direct: bool) -> list[wire.Command]:
-        """Halts of attempts that are to stop; a direct command carries each only once."""
+        """Returns halts of stopping attempts; direct commands carry each of them only once."""
         commands: list[wire.Command] = []
         for attempt in machine.attempts.values():
             if not attempt.stopping or attempt.finishing or attempt.stage < Stage.FETCHING:
@@ -89,10 +90,10 @@
         return commands
 
     def _launches(self, machine: Machine, direct: bool) -> list[wire.Command]:
-        """Launches, the most urgent first, that fit the machine and the limits of their teams."""
+        """Returns the launches that fit the machine and their teams' limits, most urgent first."""
         if machine.mute_incarnation:
-            # The lease is not renewed, so that a launched task would be killed with it and would
-            # have to be launched again.
+            # No heartbeats arrive to renew the lease, so a launched task would be killed when the
+            # lease ends and would have to be launched again.
             return []
         candidates = [attempt for attempt in machine.attempts.values() if _awaits_launch(attempt)]
         if not candidates:
@@ -109,22 +110,23 @@
         return commands
 
     def _launch_order(self, attempt: Attempt) -> tuple[int, int, float]:
-        """Sort key: highest rank first, then the priority class, then the time of planning."""
+        """Returns the sort key: highest rank first, then priority class, then time of planning."""
         job = attempt.job
         return -job.rank, self._model.priority_class(job), attempt.planned_at
 
     def _may_launch(self, attempt: Attempt, free: Resources) -> bool:
-        """Whether the machine has room (its victims may still run) and the team's limit has."""
+        """Whether a launch fits the machine, where evicted tasks may still run, and its team's
+        limit."""
         return attempt.job.demand.fits_in(free) and self._model.may_launch(attempt)
 
 
 def halt_immediately(status: wire.TaskStatus) -> wire.Command:
-    """A halt without a grace period for a task that a worker has reported."""
+    """Returns a halt without a grace period for a task that a worker has reported."""
     return wire.Command(HALT, status.task, status.attempt, 0.0)
 
 
 def _awaits_launch(attempt: Attempt) -> bool:
-    """Whether an attempt is durable and wanted, and has not been sent to its machine."""
+    """Whether an attempt is durably placed, still needed and not yet sent to its machine."""
     return (
         attempt.stage == Stage.PLACED
         and not (attempt.finishing or attempt.stopping)
@@ -135,7 +137,7 @@
 
 
 def _mark_launch_sent(machine: Machine, attempt: Attempt, direct: bool) -> None:
-    """Record by which message a launch goes, so that the next heartbeats can be interpreted."""
+    """Records with which message a launch is sent, so that later heartbeats can be interpreted."""
     attempt.job.on_launch_sent(attempt)
     attempt.sent = True
     if direct:
--- a/badgerseam/workers/direct_commands.py
+++ b/badgerseam/workers/direct_commands.py
@@ -1,4 +1,4 @@
-"""Commands sent straight to a worker (`POST /do`), without waiting for its next heartbeat."""
+"""Sends commands directly to workers (`POST /do`) without waiting for their next heartbeats."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 from badgerseam.wire import workers as wire
-from badgerseam.workers.command_acks import readmit_if_reached
+from badgerseam.workers.command_acks import readmit_if_acknowledged
 from badgerseam.workers.command_queue import REAP, CommandQueue
 from badgerseam.workers.heartbeats import HeartbeatProcessor, position_of
 from badgerseam.workers.inspection import INSPECT_DEADLINE_S, inspect
@@ -23,19 +23,20 @@
 
 DIRECT_DEADLINE_S = 2.0
 RETRY_S = 1.0
-"""Pause after a direct command or an inspection that failed."""
+"""Seconds to wait after a failed direct command or inspection."""
 STATUSES_WITH_HEARTBEAT = (200, 409)
-"""A worker answers both accepted and refused commands with its heartbeat."""
+"""HTTP statuses of a worker's answers to accepted and to refused commands; both carry its
+heartbeat."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Outcome:
-    """What became of a direct command."""
+    """The outcome of a direct command."""
 
     heartbeat: wire.Heartbeat | None
-    """The worker's answer, if it gave one."""
+    """The heartbeat in the worker's answer; None without a valid answer."""
     may_execute_later: bool = False
-    """It was sent, and no valid answer came: the worker may still execute it."""
+    """Whether the worker may still execute the command: it was sent, and no valid answer came."""
 
 
 class DirectCommandSender:
@@ -60,20 +61,25 @@
         self._tasks = BackgroundTasks()
 
     def push(self, machine: Machine) -> None:
-        """Send a machine's pending commands if it can be reached; the model's lock is held."""
+        """Sends a machine's pending commands, or inspects it if that has to come first.
+
+        Does nothing while another request is in flight or a retry pause lasts. Callers must hold
+        the model's lock.
+        """
         if machine.command_in_flight or self._clock.now() < machine.next_push_at:
             return
         if not self._member.holds_lease_for(self._model.shards[machine.shard]):
             return
         if machine.incarnation == 0:
             if machine.address:
-                # Just taken over: inspected, it can be used before its next heartbeat.
+                # The machine was just taken over. An inspection makes it usable before its next
+                # heartbeat.
                 self._start_inspection(machine)
             return
         commands = self._command_queue.collect(machine, direct=True)
         if not commands and machine.push_failures:
-            # Nothing is placed on a machine that left commands unanswered: where no command was
-            # pending any more, it stayed unused for ever.
+            # Nothing is placed on a machine that left commands unanswered. Without an inspection,
+            # it would stay unused for good once no more commands are pending.
             self._start_inspection(machine)
             return
         if not commands and not _needs_token(machine):
@@ -87,7 +93,7 @@
         self._tasks.spawn(self._inspect(machine))
 
     async def _inspect(self, machine: Machine) -> None:
-        """Ask a worker for its state and apply it."""
+        """Requests a worker's state and applies it."""
         term = machine.term
         heartbeat = await inspect(self._http, machine.address, INSPECT_DEADLINE_S)
         with self._model.lock:
@@ -104,7 +110,7 @@
         self._on_change()
 
     async def _send(self, machine: Machine, commands: list[wire.Command]) -> None:
-        """Send commands and apply what their outcome shows."""
+        """Sends commands and applies their outcome."""
         term = machine.term
         message = wire.DirectCommands(machine.fencing_token, machine.incarnation, commands)
         machine.highest_direct_token = max(machine.highest_direct_token, message.fencing_token)
@@ -122,7 +128,7 @@
         self._on_change()
 
     async def _request(self, machine: Machine, message: wire.DirectCommands) -> _Outcome:
-        """Post a message to a worker."""
+        """Posts a message to a worker and returns the outcome."""
         try:
             response = await self._http.request(
                 machine.address, "POST", "/do", wire.encode(message), DIRECT_DEADLINE_S
@@ -139,26 +145,27 @@
             return _Outcome(None, may_execute_later=True)
 
     def _is_owned_under(self, machine: Machine, term: int) -> bool:
-        """Whether a machine has not changed hands since a request was sent under a term."""
+        """Whether this controller still owns a machine under the term of a request."""
         return machine.term == term and self._model.shards[machine.shard].owned
 
     def _on_failed(self, machine: Machine) -> None:
-        """No heartbeat came back: every command has to be sent again, after a pause."""
+        """Schedules every command to be sent again after a pause, as no valid answer came."""
         machine.push_failures += 1
         machine.next_push_at = self._clock.now() + RETRY_S
         for attempt in machine.attempts.values():
             if attempt.sending:
                 attempt.sending = attempt.sent = False
-            # As launches, halts are sent again: a worker that reaches no controller gets no
-            # response to a heartbeat that could carry them.
+            # Halts are sent directly again, as launches are: a worker that reaches no controller
+            # gets no heartbeat response that could carry them.
             attempt.stop_sent = False
 
     def _on_answered(
         self, machine: Machine, message: wire.DirectCommands, heartbeat: wire.Heartbeat
     ) -> None:
-        """Apply the heartbeat with which a worker answered."""
+        """Applies the heartbeat with which a worker answered."""
         machine.push_failures = 0
-        # The answer itself shows what became of the launches.
+        # The answer's heartbeat already shows the result of the launches, so they count as sent
+        # before it.
         before_answer = (heartbeat.incarnation, heartbeat.sequence - 1)
         for attempt in machine.attempts.values():
             if attempt.sending:
@@ -168,23 +175,26 @@
             if command.op == REAP:
                 machine.reported_tasks.pop(command.task, None)
         self._heartbeats.apply(machine, heartbeat, direct=True)
-        readmit_if_reached(machine, heartbeat)
+        readmit_if_acknowledged(machine, heartbeat)
         if position_of(heartbeat) >= machine.heartbeat_position:
             self._model.machines_to_push.add(machine.index)
 
 
 def _needs_token(machine: Machine) -> bool:
-    """Whether a message without commands is due to show the worker our token.
+    """Whether a message without commands has to be sent to show the worker the current token.
 
-    From then on it refuses what an earlier owner may still send, and leaves that one for us.
+    With that token, the worker refuses commands that an earlier owner may still send, and sends its
+    heartbeats to this controller instead of the earlier owner.
     """
     is_contacted = machine.contacted and not machine.unacknowledging
     return not is_contacted and machine.acknowledged_token < machine.fencing_token
 
 
 def _fence(machine: Machine, message: wire.DirectCommands) -> None:
-    """Raise the token, since the worker may execute a message at any later time: a higher token
-    fences it as soon as the worker has shown that one."""
+    """Raises the token to fence a message that the worker may still execute at any later time.
+
+    The message is fenced once the worker has shown the higher token.
+    """
     machine.highest_unsettled_token = max(machine.highest_unsettled_token, message.fencing_token)
     machine.unsettled_incarnation = max(machine.unsettled_incarnation or 0, message.incarnation)
     machine.token_bump += 1
--- a/badgerseam/workers/draining.py
+++ b/badgerseam/workers/draining.py
@@ -1,4 +1,4 @@
-"""Stopping tasks that cannot complete in time on draining machines."""
+"""Stops tasks on draining machines that cannot complete in time."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 def drain(model: Model, is_handled: Callable[[Attempt], bool] | None = None) -> None:
-    """Stop the attempts on draining machines of owned shards; the model's lock is held.
+    """Stops the attempts on draining machines of owned shards. Callers must hold the model's lock.
 
-    `is_handled`: whether an attempt is left to others for now, as a member of a replica that moves.
+    `is_handled`: whether another component handles an attempt for now, such as a member of a
+    replica that is being moved.
     """
     now = model.clock.now()
     for machine in model.machines.values():
@@ -30,7 +31,7 @@
 
 def _completes_before_reclaim(attempt: Attempt, machine: Machine, now: float) -> bool:
     """Whether a running attempt without checkpoints should complete before the cloud reclaims its
-    machine, so that a stop would only waste its work."""
+    machine, in which case stopping it would only waste its work."""
     if attempt.stage != Stage.RUNNING or machine.reclaim_at is None:
         return False
     job = attempt.job
--- a/badgerseam/workers/fault_attribution.py
+++ b/badgerseam/workers/fault_attribution.py
@@ -1,10 +1,9 @@
-"""Whether a failed task speaks against its machine, or against a job with a mistake in it.
+"""Attributes task failures to faulty machines or to jobs that fail everywhere.
 
-Decided by evidence over jobs and machines: a machine is faulty if several jobs fail on it that are
-not at fault themselves; a job is at fault if it has failed on several machines and no task of it
-was ever done (`Job.is_at_fault`). Each is judged anew whenever a task fails. What was counted
-against a machine is dropped as soon as the job is seen to fail everywhere, and counts again if a
-task of that job is done elsewhere after all.
+A machine is faulty if several jobs fail on it that are not at fault themselves. A job is at fault
+if it has failed on several machines and no task of it has ever completed (`Job.is_at_fault`). Both
+are evaluated again whenever a task fails. A job's failures stop counting against machines as soon
+as the job is at fault, and count again if one of its tasks completes elsewhere after all.
 """
 
 from __future__ import annotations
@@ -17,17 +16,18 @@
 log = logging.getLogger("badgerseam.workers")
 
 FAULTY_JOBS = 3
-"""Jobs that fail on a machine without being at fault themselves before it is drained."""
+"""Number of jobs, not at fault themselves, that have to fail on a machine for it to be drained."""
 STEADY_RUN_S = 10.0
-"""A task that runs on for so long, and for STEADY_RUN_FACTOR times as long as any of its job that
-failed, works."""
+"""Seconds after which a running task shows that its job works, if it has also run longer than
+STEADY_RUN_FACTOR times the longest run of a failed task of the job."""
 STEADY_RUN_FACTOR = 2
 
 
 def record_failure(machine: Machine, attempt: Attempt, now: float) -> bool:
-    """Record that a task has failed on a machine; return whether the machine is faulty.
+    """Records that a task has failed on a machine; returns whether the machine is faulty.
 
-    Jobs with mistakes drained one good machine after the other, with all images that they cached.
+    Jobs at fault do not count: otherwise they would cause one working machine after the other to be
+    drained, and the images cached there to be lost.
     """
     job = attempt.job
     was_at_fault = job.is_at_fault
@@ -40,16 +40,16 @@
 
 
 def record_completion(machine: Machine, job: Job) -> None:
-    """Record that a task of a job has completed on a machine."""
+    """Records that a task of a job has completed on a machine."""
     machine.failed_jobs.discard(job)
     job.record_success()
 
 
 def record_steady_run(attempt: Attempt, now: float) -> None:
-    """Record that a task is seen to run.
+    """Records that a task is running; after a long enough run, clears its service's failures.
 
-    Tasks of services never complete: one that runs on where others had failed shows that its job
-    works.
+    Tasks of services never complete, so a task that keeps running after others have failed is what
+    shows that the job works.
     """
     job = attempt.job
     if job.errors and job.is_service:
--- a/badgerseam/workers/heartbeat_responder.py
+++ b/badgerseam/workers/heartbeat_responder.py
@@ -1,4 +1,4 @@
-"""Answers to heartbeats, by what a heartbeat proves about the worker that sent it."""
+"""Answers heartbeats according to what each proves about the worker that sent it."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
 
 
 class Freshness(Enum):
-    """How a heartbeat relates to what its machine's owner knows."""
+    """How a heartbeat relates to the newest state that this owner has of its machine."""
 
     UNVERIFIED = "unverified"
-    """It may be a late copy of a heartbeat to an earlier owner."""
+    """It may be a late copy of a heartbeat that was sent to an earlier owner."""
     NEWER = "newer"
+    """Newer than every heartbeat, and every answer to an inspection or direct command, applied so
+    far."""
     OLDER = "older"
-    """A copy, or overtaken by a newer one or by the answer to a question of ours."""
+    """A copy, or overtaken by a newer heartbeat or by the answer to an inspection or direct
+    command."""
 
 
 def freshness_of(machine: Machine, heartbeat: wire.Heartbeat) -> Freshness:
-    """Classify a heartbeat of an owned machine."""
+    """Classifies a heartbeat of an owned machine."""
     if not machine.is_verified_heartbeat(heartbeat.fencing_token):
         return Freshness.UNVERIFIED
     is_newer = position_of(heartbeat) > machine.heartbeat_position
@@ -36,7 +39,7 @@
 
 
 class HeartbeatResponder:
-    """Applies heartbeats and answers them. Callers hold the model's lock."""
+    """Applies heartbeats and answers them. Callers must hold the model's lock."""
 
     def __init__(
         self,
@@ -53,7 +56,7 @@
         self._heartbeat_proxy = heartbeat_proxy
 
     def answer(self, machine: Machine, heartbeat: wire.Heartbeat, freshness: Freshness) -> Reply:
-        """Answer a heartbeat as the owner of its machine."""
+        """Answers a heartbeat as the owner of its machine."""
         if freshness is Freshness.UNVERIFIED:
             return self._answer_unverified(machine, heartbeat)
         if freshness is Freshness.NEWER:
@@ -61,11 +64,13 @@
         return self._answer_older(machine, heartbeat)
 
     def answer_as_proxy(self, machine: Machine, heartbeat: wire.Heartbeat) -> Reply:
-        """Renew the worker's lease for its owner; cancelled tasks are halted, nothing else is
-        commanded."""
+        """Renews the worker's lease on behalf of its owner, and halts cancelled tasks.
+
+        No other commands are sent.
+        """
         if self._heartbeat_proxy.launch_may_be_delayed(machine, heartbeat):
-            # Such a launch was executed when the zones were connected again, long after the
-            # cancellation.
+            # With the lease renewed, the worker would execute a delayed launch of a cancelled task
+            # once the partition between the zones heals, long after the cancellation.
             return error_reply(503, "a cancelled launch may be held back", RETRY_AFTER_S)
         halts = [
             halt_immediately(status)
@@ -75,16 +80,16 @@
         return _response(heartbeat.fencing_token, halts[:MAX_COMMANDS])
 
     def _answer_newer(self, machine: Machine, heartbeat: wire.Heartbeat) -> Reply:
-        """Apply a heartbeat, renew the lease and answer with the pending commands."""
+        """Applies a heartbeat, renews the lease and answers with the pending commands."""
         now = self._clock.now()
         self._command_acks.on_heartbeat(machine, heartbeat, now)
         machine.mute_incarnation = 0
-        # A worker sends one heartbeat at a time, so that a newer one shows that the commands of
-        # the response before it were either executed or given up.
+        # A worker sends one heartbeat at a time, so a newer one shows that the commands in the
+        # previous response were either executed or dropped.
         machine.response_open = False
         self._heartbeats.apply(machine, heartbeat, direct=False)
         if machine.unacknowledging:
-            # An answer that got through after all would renew the lease whose end is awaited.
+            # If a 200 reached the worker after all, it would renew a lease that has to expire.
             return refuse_given_up()
         machine.lease_renewed_at = max(machine.lease_renewed_at, now)
         machine.answered_heartbeat = position_of(heartbeat)
@@ -93,7 +98,8 @@
         return _response(machine.fencing_token, commands)
 
     def _answer_older(self, machine: Machine, heartbeat: wire.Heartbeat) -> Reply:
-        """Answer a copy, or a heartbeat that an answer to us has overtaken."""
+        """Answers a copy, or a heartbeat overtaken by the answer to an inspection or direct
+        command."""
         if machine.unacknowledging:
             return refuse_given_up()
         position = position_of(heartbeat)
@@ -101,19 +107,20 @@
         if is_unanswered and heartbeat.incarnation == machine.incarnation:
             if not machine.is_current_token(heartbeat.fencing_token):
                 return _answer_without_renewal(heartbeat)
-            # Sent before that answer came, it renews the lease no longer than from then on.
+            # It was sent before the newer answer came, so it renews the lease only from that
+            # answer's arrival.
             machine.answered_heartbeat = position
             machine.lease_renewed_at = max(machine.lease_renewed_at, machine.last_heartbeat_at)
-        # Otherwise sent before one that was answered, or in an earlier incarnation: it renews
-        # nothing.
+        # Otherwise the heartbeat precedes one that was answered, or belongs to an earlier
+        # incarnation: the answer does not renew the lease.
         return _response(machine.fencing_token, [])
 
     def _answer_unverified(self, machine: Machine, heartbeat: wire.Heartbeat) -> Reply:
-        """Answer the first heartbeat since the takeover, sent to us or, long ago, to an owner
-        before.
+        """Answers a heartbeat that may be a late copy of one sent to an earlier owner.
 
-        It shows which address to inspect. Taken for new, a copy in which a task had exited had it
-        placed elsewhere, although it had been launched again and ran.
+        Until the machine is verified after a takeover, only the address to inspect and completed
+        tasks are taken from its heartbeats. If a copy that shows a task as exited were applied, the
+        task would be placed elsewhere although it has been launched again and is running.
         """
         now = self._clock.now()
         machine.address = heartbeat.address
@@ -124,7 +131,8 @@
         self._model.machines_to_push.add(machine.index)
         if machine.attempts and now > machine.lease_renewed_at:
             return _answer_without_renewal(heartbeat)
-        # Only the worker itself can receive these halts, and then the heartbeat is no copy.
+        # Only the worker itself can receive these halts, and in that case the heartbeat is not a
+        # copy.
         halts = [
             halt_immediately(status)
             for status in heartbeat.tasks
@@ -133,19 +141,19 @@
         return _response(machine.fencing_token, halts[:MAX_COMMANDS])
 
     def _is_cancelled(self, status: wire.TaskStatus) -> bool:
-        """Whether a task's job is known as cancelled."""
+        """Whether a task's job is recorded as cancelled."""
         ended = self._model.ended.get(status.task.partition("/")[0])
         return ended is not None and ended[0] == Phase.CANCELLED
 
     def _is_wanted(self, machine: Machine, status: wire.TaskStatus) -> bool:
-        """Whether a reported task is an attempt on its machine that is not to stop."""
+        """Whether a reported task has an attempt on its machine that is not being stopped."""
         found = self._model.find_task(status.task)
         attempt = None if found is None else machine.attempt_of(*found, status.attempt)
         return attempt is not None and not attempt.stopping
 
 
 def refuse_given_up() -> Reply:
-    """Refuse a heartbeat of a machine whose lease must not be renewed any more."""
+    """Returns the refusal for a machine whose lease must not be renewed any more."""
     return error_reply(503, "given up", RETRY_AFTER_S)
 
 
@@ -154,10 +162,11 @@
 
 
 def _answer_without_renewal(heartbeat: wire.Heartbeat) -> Reply:
-    """Answer so that the worker's lease is not renewed.
+    """Answers without renewing the worker's lease.
 
-    A renewal would have to be counted, and the heartbeat may be a copy. A worker drops an answer
-    with a lower token and stays; it has been inspected before its next heartbeat.
+    A renewal would have to be recorded, but the heartbeat may be a copy. A worker drops an answer
+    with a lower token than its own and does not move on to another controller; it is inspected
+    before its next heartbeat.
     """
     if heartbeat.fencing_token == 0:
         return error_reply(503, "not known yet", RETRY_AFTER_S)
--- a/badgerseam/workers/heartbeats.py
+++ b/badgerseam/workers/heartbeats.py
@@ -1,4 +1,4 @@
-"""Applying heartbeats to machines and their attempts."""
+"""Applies heartbeats to machines and their attempts."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 log = logging.getLogger("badgerseam.workers")
 
 EXITED = "exited"
-"""State of a task that is not active on its worker any more."""
+"""State of a task that is no longer active on its worker."""
 DONE = "done"
 """Exit reason of a completed task."""
 TASK_ERROR = "error"
-"""Exit reason of a task that failed by itself."""
+"""Exit reason of a task that failed on its own, without being stopped."""
 NOT_STARTED_REASONS = ("no_such", "full", "in_use")
 """Exit reasons of a task that its worker could not start."""
 
@@ -29,22 +29,22 @@
 
 
 def position_of(heartbeat: wire.Heartbeat) -> tuple[int, int]:
-    """Incarnation and sequence number, by which the heartbeats of a worker are ordered."""
+    """Returns incarnation and sequence number, which order the heartbeats of a worker."""
     return heartbeat.incarnation, heartbeat.sequence
 
 
 @dataclass(slots=True)
 class _MatchedTasks:
-    """What the tasks of a heartbeat are to the controller."""
+    """The tasks of a heartbeat, matched with the attempts on record."""
 
     attempts: set[tuple[int, int]] = field(default_factory=set)
-    """Indices of the job and task of each attempt that was found."""
+    """Job index and task index of each attempt that was found."""
     untracked_use: dict[int, Resources] = field(default_factory=dict)
-    """What active tasks without an attempt use, by team."""
+    """Resources used by active tasks without an attempt, by team."""
 
 
 class HeartbeatProcessor:
-    """Updates machines and their attempts by heartbeats. Callers hold the model's lock."""
+    """Updates machines and their attempts from heartbeats. Callers must hold the model's lock."""
 
     def __init__(self, model: Model, tunables: Tunables) -> None:
         self._model = model
@@ -52,14 +52,14 @@
         self._tunables = tunables
 
     def apply(self, machine: Machine, heartbeat: wire.Heartbeat, direct: bool) -> bool:
-        """Apply a heartbeat; return False if it is not newer than what is known.
+        """Applies a heartbeat; returns False if it is not newer than the last one applied.
 
-        `direct`: it came as the answer to a direct command or an inspection, perhaps while the
-        response to a heartbeat is still on its way to the worker with launches in it. Any other
-        one is a heartbeat for which `Machine.is_verified_heartbeat` holds.
+        `direct`: whether it answers a direct command or an inspection; a response with launches may
+        then still be on its way to the worker. Otherwise `Machine.is_verified_heartbeat` must hold
+        for it.
         """
         if position_of(heartbeat) <= machine.heartbeat_position:
-            # Delayed on its way: its task list is as old as it is.
+            # The heartbeat was delayed, so its task list is outdated.
             return False
         now = self._clock.now()
         is_first = machine.incarnation == 0
@@ -74,7 +74,7 @@
         return True
 
     def apply_completions(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
-        """Apply what stays true however late a heartbeat comes: that tasks are done."""
+        """Applies only completions, which hold however late a heartbeat arrives."""
         for status in heartbeat.tasks:
             if status.state != EXITED or status.exit_reason != DONE:
                 continue
@@ -88,7 +88,7 @@
     def _apply_statuses(
         self, machine: Machine, heartbeat: wire.Heartbeat, now: float
     ) -> _MatchedTasks:
-        """Apply the status of each reported task to its attempt."""
+        """Applies the status of each reported task to its attempt."""
         matched = _MatchedTasks()
         for status in heartbeat.tasks:
             found = self._model.find_task(status.task)
@@ -105,7 +105,7 @@
         return matched
 
     def _set_untracked_use(self, machine: Machine, use_by_team: dict[int, Resources]) -> None:
-        """Set what attempts that no record knows use on a machine, by team."""
+        """Sets the resources that attempts without a record use on a machine, by team."""
         if use_by_team == machine.untracked_use_by_team:
             return
         machine.untracked_use_by_team = use_by_team
@@ -117,7 +117,7 @@
     def _apply_absences(
         self, machine: Machine, heartbeat: wire.Heartbeat, present: set[tuple[int, int]]
     ) -> None:
-        """Conclude from the absence of attempts in a heartbeat newer than every launch of them."""
+        """Handles attempts that a heartbeat sent after their last launch does not list."""
         is_settled = machine.settles_commands(heartbeat.fencing_token, heartbeat.incarnation)
         position = position_of(heartbeat)
         for key, attempt in list(machine.attempts.items()):
@@ -126,29 +126,31 @@
             if attempt.sending or position <= attempt.sent_at_heartbeat:
                 continue
             attempt.sent = False
-            # Whatever it did before, it would begin anew.
+            # If the attempt runs again, it starts from the beginning.
             attempt.started_at = 0.0
             if is_settled:
                 self._apply_absence(machine, attempt)
-            # Otherwise a launch with an older token may still be in flight.
+            # Otherwise a launch with an older token may still be in flight: nothing is concluded.
 
     def _apply_absence(self, machine: Machine, attempt: Attempt) -> None:
-        """An attempt is certainly not on its machine, and no launch of it is in flight."""
+        """Handles an attempt that is certainly not on its machine and has no launch in flight."""
         attempt.job.on_launch_undone(attempt)
         if attempt.stage >= Stage.FETCHING:
-            # It was there and is gone without a status: its incarnation has ended.
+            # The attempt was on the machine and is gone without an exit status: the incarnation it
+            # ran in has ended.
             attempt.stage = Stage.PLACED
             machine.sched_view = None
             attempt.job.mark_changed(attempt.task)
         is_unfit = machine.draining or machine.is_probably_unreachable or machine.mute_incarnation
         if attempt.stopping or is_unfit:
-            # Launches were sent there with each response for ever, and were undone each time.
+            # If the attempt stayed here, each response would carry its launch again, and the launch
+            # would be undone each time, without end.
             self._model.unplace(attempt)
 
     def _apply_status(
         self, machine: Machine, attempt: Attempt, status: wire.TaskStatus, now: float
     ) -> None:
-        """Apply a task's status to its attempt."""
+        """Applies a task's status to its attempt."""
         if attempt.stage == Stage.PLANNED:
             return
         if status.state == EXITED:
@@ -159,7 +161,7 @@
     def _apply_exit(
         self, machine: Machine, attempt: Attempt, status: wire.TaskStatus, now: float
     ) -> None:
-        """An attempt has exited: its task is done, or is placed anew."""
+        """Handles the exit of an attempt: its task is completed, or has to be placed again."""
         self._model.shards_to_plan.add(machine.shard)
         if status.exit_reason == DONE:
             self._apply_completion(machine, attempt, now)
@@ -177,7 +179,7 @@
         self._model.unplace(attempt)
 
     def _apply_completion(self, machine: Machine, attempt: Attempt, now: float) -> None:
-        """An attempt's task is done, which is to be made durable."""
+        """Records that an attempt's task has completed, to be made durable later."""
         job = attempt.job
         if job.phase != Phase.OPEN:
             self._model.unplace(attempt)
@@ -190,11 +192,12 @@
 
 
 def _update_machine(machine: Machine, heartbeat: wire.Heartbeat, now: float) -> None:
-    """Apply what a heartbeat shows of the worker itself."""
+    """Applies what a heartbeat shows about the worker itself."""
     if heartbeat.incarnation > machine.incarnation:
-        # The lease of an incarnation runs from its begin. Where we learn of it by a direct answer,
-        # no heartbeat of it may have been answered yet, and the machine came up long after it was
-        # recorded: it is not to be counted as silent since then.
+        # The lease of an incarnation starts with the incarnation. If the answer to a direct command
+        # or an inspection is the first sign of it, none of its heartbeats may have been answered
+        # yet. The machine may have booted long after its record was written, and its lease must not
+        # be taken as running since then.
         machine.lease_renewed_at = max(machine.lease_renewed_at, now)
     machine.incarnation, machine.sequence = position_of(heartbeat)
     machine.last_heartbeat_at = now
@@ -210,18 +213,19 @@
 def _unfinished_attempt(
     machine: Machine, job: Job, task: int, status: wire.TaskStatus
 ) -> Attempt | None:
-    """The attempt that a status is about, if it is on the machine and not seen to complete."""
+    """Returns the attempt that a status is about, if it is on the machine and has not completed."""
     attempt = machine.attempt_of(job, task, status.attempt)
     return None if attempt is None or attempt.finishing else attempt
 
 
 def _apply_active_state(machine: Machine, attempt: Attempt, state: str, now: float) -> None:
-    """An attempt is on its machine, in a state other than exited."""
+    """Applies the state of an attempt that is active on its machine."""
     job = attempt.job
     attempt.last_seen_at = now
     stage = _STAGES.get(state, Stage.RUNNING)
     if stage == Stage.FETCHING:
-        # Launched again after its incarnation had ended: what was known of its start is past.
+        # The attempt was launched again after the incarnation it ran in had ended, so its recorded
+        # start time is outdated.
         attempt.started_at = 0.0
     if stage == Stage.RUNNING:
         if attempt.stage < Stage.RUNNING:
@@ -237,9 +241,9 @@
 
 
 def _record_start(machine: Machine, attempt: Attempt, now: float) -> None:
-    """An attempt is seen to run for the first time."""
+    """Records that an attempt is running, when this owner first sees it so."""
     job = attempt.job
-    # An owner before us may have seen it begin, and stored that with its row.
+    # An earlier owner may have seen it start and stored the time with the attempt's row.
     attempt.started_at = attempt.started_at or now
     attempt.unseen = False
     log.debug(
--- a/badgerseam/workers/inherited_evictions.py
+++ b/badgerseam/workers/inherited_evictions.py
@@ -1,4 +1,4 @@
-"""Evictions that an earlier owner of a machine had decided and could not complete."""
+"""Repeats evictions that an earlier owner of a machine had decided but not completed."""
 
 from __future__ import annotations
 
@@ -14,30 +14,31 @@
 
 
 def repeat_evictions(model: Model, machine: Machine, now: float) -> None:
-    """Stop the attempts that an earlier owner had evicted for what it placed, if it ended between.
+    """Stops attempts that an earlier owner had evicted to make room for its placements.
 
-    Placements are durable, stops are not: what it had placed waited for resources until tasks of
-    lower priority, of which no controller knew any more that they were to stop, had completed.
+    Placements are durable, but decisions to stop are not. If the earlier owner ended between the
+    two, its placements would otherwise wait for resources until the tasks of lower priority that it
+    had decided to stop complete by themselves.
     """
     free = machine.total.minus(machine.planned_use())
     if machine.total == NOTHING or NOTHING.fits_in(free):
         return
-    staying = [
+    remaining = [
         attempt
         for attempt in machine.attempts.values()
         if not (attempt.stopping or attempt.finishing)
     ]
     waiting_rank = max(
-        (attempt.job.rank for attempt in staying if attempt.stage == Stage.PLACED), default=0
+        (attempt.job.rank for attempt in remaining if attempt.stage == Stage.PLACED), default=0
     )
     if waiting_rank < HIGH_RANK:
         return
     victims = [
         attempt
-        for attempt in staying
+        for attempt in remaining
         if attempt.stage >= Stage.FETCHING and attempt.job.rank < HIGH_RANK
     ]
-    # As in a plan, the attempts that would lose most work are spared.
+    # As in a plan, attempts of a rank that would lose the least work are stopped first.
     victims.sort(key=lambda attempt: (attempt.job.rank, _unsaved_work_s(attempt, now)))
     for victim in victims:
         if NOTHING.fits_in(free):
@@ -57,7 +58,7 @@
 
 
 def _unsaved_work_s(attempt: Attempt, now: float) -> float:
-    """Seconds of work that a stop would lose, by the interval of its checkpoints."""
+    """Returns the seconds of work that a stop would lose, given the checkpoint interval."""
     ran_s = now - attempt.started_at if attempt.started_at > 0 else 0.0
     interval_s = attempt.job.spec.checkpoint_s
     return math.fmod(ran_s, interval_s) if interval_s > 0 else ran_s
--- a/badgerseam/workers/inspection.py
+++ b/badgerseam/workers/inspection.py
@@ -1,4 +1,4 @@
-"""Asking workers for their state, and whether their addresses are known."""
+"""Inspects workers, and checks for machines whose addresses are unknown."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 async def inspect(http: HttpClient, address: str, deadline_s: float) -> wire.Heartbeat | None:
-    """Return the heartbeat of the worker at an address, without renewing its lease.
+    """Returns the heartbeat of the worker at an address, without renewing its lease.
 
-    None if no worker answers there within the deadline, in seconds.
+    Returns None if no worker answers there within the deadline, in seconds.
     """
     try:
         response = await http.request(address, "GET", "/inspect", None, deadline_s)
@@ -29,7 +29,7 @@
 
 
 def lacks_addresses(model: Model) -> bool:
-    """Whether machines were taken over with work on them, and without their addresses."""
+    """Whether machines with attempts were taken over whose addresses are still unknown."""
     return any(
         machine.attempts
         and not machine.address
--- a/badgerseam/workers/lease_expiry.py
+++ b/badgerseam/workers/lease_expiry.py
@@ -1,4 +1,4 @@
-"""Machines that are not heard any more: lost by the end of their leases, or probed and given up."""
+"""Marks machines as lost when their leases end, and gives up machines that do not respond."""
 
 from __future__ import annotations
 
@@ -29,31 +29,33 @@
 
 PROBE_DEADLINE_S = 1.5
 UNRESPONSIVE_INTERVALS = 3
-"""Heartbeat intervals without a heartbeat after which a machine is probed."""
+"""Heartbeat intervals without a heartbeat after which a machine is overdue and is probed."""
 RECENT_INTERVALS = 1.5
-"""Heartbeat intervals within which any machine that can reach us has sent a heartbeat."""
+"""Heartbeat intervals within which every machine that can reach this controller has sent a
+heartbeat."""
 
 
 @dataclass(slots=True)
 class _Responsiveness:
-    """The machines of owned shards by how they respond."""
+    """The machines of owned shards, classified by how they respond."""
 
-    silent: list[Machine] = field(default_factory=list)
-    """No heartbeat for UNRESPONSIVE_INTERVALS."""
+    overdue: list[Machine] = field(default_factory=list)
+    """Machines without a heartbeat for UNRESPONSIVE_INTERVALS."""
     unacknowledging: list[Machine] = field(default_factory=list)
-    """They send heartbeats and acknowledge no answer."""
-    heard_by_zone: Counter[str] = field(default_factory=Counter)
-    """How many machines of a zone have sent a heartbeat within RECENT_INTERVALS."""
+    """Machines that send heartbeats but acknowledge no answer."""
+    reporting_by_zone: Counter[str] = field(default_factory=Counter)
+    """Number of machines per zone that have sent a heartbeat within RECENT_INTERVALS."""
 
     @property
     def is_widespread(self) -> bool:
-        """Whether so many machines are affected that the trouble lies between us and them."""
-        affected = len(self.silent) + len(self.unacknowledging)
-        return affected > max(1, self.heard_by_zone.total() // 2)
+        """Whether so many machines are affected that the network between them and this controller,
+        or the controller itself, must be at fault."""
+        affected = len(self.overdue) + len(self.unacknowledging)
+        return affected > max(1, self.reporting_by_zone.total() // 2)
 
 
 class LeaseExpiry:
-    """Finds machines that are silent or acknowledge nothing, and machines whose lease has ended."""
+    """Finds machines whose lease has ended, that are overdue, or that acknowledge no answer."""
 
     def __init__(
         self,
@@ -75,14 +77,14 @@
         self._tasks = BackgroundTasks()
         workers = model.settings.params.workers
         self._lease_bound_s = workers.lease_s * CLOCK_DRIFT + tunables.margin_s
-        self._max_silence_s = UNRESPONSIVE_INTERVALS * workers.report_s
+        self._overdue_after_s = UNRESPONSIVE_INTERVALS * workers.report_s
         self._recent_s = RECENT_INTERVALS * workers.report_s
         self._confirmation_s = 2 * workers.report_s
 
     def expire_leases(self) -> list[Machine]:
-        """Give up machines whose leases have certainly ended; return those newly lost.
+        """Marks machines as lost whose leases have certainly ended, and returns them.
 
-        The model's lock is held.
+        Callers must hold the model's lock.
         """
         model = self._model
         lost = []
@@ -106,7 +108,7 @@
         return lost
 
     def _mark_lost(self, machine: Machine) -> None:
-        """A machine's lease has certainly ended, and its tasks with it."""
+        """Marks a machine as lost: its lease has certainly ended, and its tasks with it."""
         log.info("machine lost machine=%s tasks=%d", machine.name, len(machine.attempts))
         machine.lost = True
         for attempt in list(machine.attempts.values()):
@@ -114,61 +116,68 @@
                 self._model.unplace(attempt)
 
     def probe_unresponsive(self) -> None:
-        """Probe machines that do not respond, and give those up that do not answer.
+        """Probes machines that do not respond, and gives up those that do not answer.
 
-        Their release makes certain that their tasks are gone, sooner than the end of their lease.
-        If many are silent at once, or a whole zone is, the trouble lies between us and them, and
-        nothing is given up. The model's lock is held.
+        Releasing a machine makes certain that its tasks are gone, sooner than waiting for its lease
+        to end. If many machines or a whole zone do not respond, the network between them and this
+        controller, or the controller itself, is at fault, and none is given up. Callers must hold
+        the model's lock.
         """
         now = self._clock.now()
-        machines = self._classify(now)
-        for machine in machines.unacknowledging:
-            if machines.is_widespread or not machines.heard_by_zone[machine.zone]:
-                # Nor does what it missed count when that is over: of a zone that heals, the first
-                # to be heard had the others given up.
+        responsiveness = self._classify_machines(now)
+        for machine in responsiveness.unacknowledging:
+            if responsiveness.is_widespread or not responsiveness.reporting_by_zone[machine.zone]:
+                # The answers missed until now must not count after the network recovers either:
+                # otherwise the first machine of a recovering zone to report would cause the others
+                # to be given up.
                 reset_missed_answers(machine, now)
             elif machine.missed_answers > machine.missed_when_probed and not machine.probing:
                 machine.probing = True
                 machine.missed_when_probed = machine.missed_answers
                 self._tasks.spawn(self._probe_unacknowledging(machine))
-        if machines.is_widespread:
+        if responsiveness.is_widespread:
             return
-        for machine in machines.silent:
+        for machine in responsiveness.overdue:
             if not machine.address:
-                # Its address is still to be learnt: nothing can be said about it.
+                # Its address is not known yet, so it cannot be probed.
                 continue
-            is_zone_heard = machines.heard_by_zone[machine.zone] > 0
-            if is_zone_heard and not machine.probing and not machine.given_up:
+            is_zone_reporting = responsiveness.reporting_by_zone[machine.zone] > 0
+            if is_zone_reporting and not machine.probing and not machine.given_up:
                 machine.probing = True
-                self._tasks.spawn(self._probe_silent(machine))
+                self._tasks.spawn(self._probe_overdue(machine))
 
-    def _classify(self, now: float) -> _Responsiveness:
-        """Sort the machines of owned shards by how they respond."""
+    def _classify_machines(self, now: float) -> _Responsiveness:
+        """Classifies the machines of owned shards by how they respond."""
         result = _Responsiveness()
-        heard_by_zone = result.heard_by_zone
+        reporting_by_zone = result.reporting_by_zone
         shards = self._model.shards
-        max_silence_s = self._max_silence_s
+        overdue_after_s = self._overdue_after_s
         for machine in self._model.machines.values():
             if machine.lost or machine.dropped or not shards[machine.shard].owned:
                 continue
-            unheard_s = now - machine.last_heartbeat_at
-            if unheard_s > max_silence_s and now - _silent_since(machine) > max_silence_s:
-                if _is_missed(machine):
-                    result.silent.append(machine)
+            since_heartbeat_s = now - machine.last_heartbeat_at
+            if (
+                since_heartbeat_s > overdue_after_s
+                and now - _overdue_timer_start(machine) > overdue_after_s
+            ):
+                if _is_expected_to_report(machine):
+                    result.overdue.append(machine)
             elif machine.missed_answers:
                 if fails_to_acknowledge(machine, now) and not machine.given_up:
                     result.unacknowledging.append(machine)
-            elif machine.incarnation > 0 and unheard_s <= self._recent_s:
-                # Only what was heard since the others fell silent shows that the trouble lies with
-                # them: when a zone is cut off, all of its machines fall silent within one interval,
-                # and the first to be missed were given up since the last seemed to be heard still.
-                heard_by_zone[machine.zone] += 1
+            elif machine.incarnation > 0 and since_heartbeat_s <= self._recent_s:
+                # A machine counts as reporting only if its heartbeat came after the others stopped:
+                # only then is the fault theirs. When a zone is cut off, the last heartbeats of its
+                # machines are spread over one interval; with a longer window, the first machines to
+                # be overdue would be given up because the others seem to report still.
+                reporting_by_zone[machine.zone] += 1
         return result
 
     async def _probe_unacknowledging(self, machine: Machine) -> None:
-        """Probe a machine that sends heartbeats and acknowledges no answer.
+        """Probes a machine that sends heartbeats but acknowledges no answer.
 
-        One that answers the probe is left a few answers more, since the loss may come to an end.
+        A machine that answers the probe may miss up to MISSED_BEFORE_GIVING_UP answers before it is
+        given up, since the message loss may be temporary.
         """
         term = machine.term
         heartbeat = await inspect(self._http, machine.address, PROBE_DEADLINE_S)
@@ -186,20 +195,20 @@
                     return
             _log_given_up(machine, "unacknowledging")
             machine.unacknowledging = machine.given_up = True
-            # Shown, this token proves that answers reach it again.
+            # A heartbeat that shows this token proves that commands reach the worker again.
             machine.token_bump += 1
             machine.sched_view = None
         self._on_change()
 
-    async def _probe_silent(self, machine: Machine) -> None:
-        """Probe a machine that sends no heartbeats, and give it up if it does not answer."""
-        term, heard_at = machine.term, machine.last_heartbeat_at
+    async def _probe_overdue(self, machine: Machine) -> None:
+        """Probes a machine whose heartbeats are overdue, and gives it up if it does not answer."""
+        term, last_heartbeat_at = machine.term, machine.last_heartbeat_at
         heartbeat = await inspect(self._http, machine.address, PROBE_DEADLINE_S)
         with self._model.lock:
             machine.probing = False
-            # A shard that has changed hands meanwhile has forgotten both the probe and the time of
-            # the last heartbeat, so that these alone do not show it.
-            is_unchanged = machine.last_heartbeat_at == heard_at
+            # If the shard changed owners meanwhile, the probe flag and the time of the last
+            # heartbeat were both reset and do not reveal the change, so the term is compared too.
+            is_unchanged = machine.last_heartbeat_at == last_heartbeat_at
             if not self._is_owned_under(machine, term) or not is_unchanged:
                 return
             if heartbeat is not None and heartbeat.machine == machine.name:
@@ -210,14 +219,15 @@
         self._on_change()
 
     def _apply_probe(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
-        """Apply the answer of a machine whose heartbeats do not reach us.
+        """Applies the answer of a machine whose heartbeats do not reach this controller.
 
-        What it shows counts all the same, but renews no lease: when one has ended for want of
-        heartbeats, others would as well.
+        Its task states are applied, but its lease is not renewed. Once an incarnation without
+        heartbeats has ended for lack of renewal, the machine is given up, since the next ones would
+        end in the same way.
         """
         machine.last_heartbeat_at = self._clock.now()
         if heartbeat.incarnation > machine.mute_incarnation > 0:
-            _log_given_up(machine, "mute")
+            _log_given_up(machine, "heartbeats_not_received")
             machine.given_up = machine.draining = True
         machine.mute_incarnation = machine.mute_incarnation or max(
             machine.incarnation, heartbeat.incarnation
@@ -227,24 +237,31 @@
         self._model.machines_to_push.add(machine.index)
 
     def _is_owned_under(self, machine: Machine, term: int) -> bool:
-        """Whether a machine has not changed hands since it was probed under a term."""
+        """Whether this controller still owns a machine under the term in which it was probed."""
         return machine.term == term and self._model.shards[machine.shard].owned
 
     def _is_lease_recent(self) -> bool:
-        """Whether the state service has confirmed our lease so recently that what is not heard is
-        no fault of ours."""
+        """Whether the state service has confirmed this controller's lease so recently that missing
+        heartbeats are not this controller's own fault."""
         return self._member.lease_confirmed_within(self._confirmation_s)
 
 
-def _silent_since(machine: Machine) -> float:
-    """When the silence of a machine began: with its last heartbeat, but not before a takeover."""
+def _overdue_timer_start(machine: Machine) -> float:
+    """Returns the time from which a machine may become overdue.
+
+    It is the time of its last heartbeat, but not before the takeover or the first unverified
+    heartbeat since.
+    """
     owned_since = machine.owned_since
     return max(machine.last_heartbeat_at, owned_since, machine.first_unverified_at or owned_since)
 
 
-def _is_missed(machine: Machine) -> bool:
-    """Whether a silent machine is expected to send heartbeats: it has sent some, or it held work at
-    a takeover, or it has sent what might be late copies since."""
+def _is_expected_to_report(machine: Machine) -> bool:
+    """Whether a machine is expected to send heartbeats.
+
+    That is so if it has sent some, if it has attempts (without a heartbeat, those it had at a
+    takeover), or if unverified heartbeats, which may be late copies, have arrived since.
+    """
     return (
         machine.incarnation > 0 or bool(machine.attempts) or machine.first_unverified_at is not None
     )
--- a/badgerseam/workers/unregistered.py
+++ b/badgerseam/workers/unregistered.py
@@ -1,4 +1,4 @@
-"""Workers whose machine has no record: inspected once, so that the leader can adopt the machine."""
+"""Inspects workers whose machine has no record, so that the leader can adopt the machine."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UnregisteredWorkers:
-    """Inspects unregistered workers while this controller is leader."""
+    """Inspects unregistered workers while this controller is the leader."""
 
     def __init__(self, model: Model, member: Membership, http: HttpClient) -> None:
         self._model = model
@@ -19,14 +19,14 @@
         self._http = http
         self._tasks = BackgroundTasks()
         self._inspecting: set[str] = set()
-        """Names of machines with an inspection under way."""
+        """Names of the machines that are being inspected."""
 
     def on_heartbeat(self, heartbeat: wire.Heartbeat) -> None:
-        """Start to inspect the worker; the model's lock is held.
+        """Starts an inspection of the worker. Callers must hold the model's lock.
 
-        Only a machine that has answered itself is adopted: late copies of a released machine's
-        heartbeats came to a leader that had not seen its record removed, which recorded it again
-        and searched for it in vain.
+        Only a machine that answers an inspection is adopted. Otherwise, late copies of a released
+        machine's heartbeats would cause a leader that did not see its record removed to record it
+        again and to search for it in vain.
         """
         name = heartbeat.machine
         if (
--- a/badgerseam/workers/worker_manager.py
+++ b/badgerseam/workers/worker_manager.py
@@ -1,4 +1,4 @@
-"""The workers of this controller's machines: who answers a heartbeat, and how."""
+"""Entry point for heartbeats: answers them, or redirects the worker to another controller."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class WorkerManager:
-    """Acts for the machines of the shards that this controller owns."""
+    """Manages the workers of the shards that this controller owns."""
 
     def __init__(
         self,
@@ -51,8 +51,8 @@
         self._peer_with_state_service = peer_with_state_service
         self.heartbeat_proxy = heartbeat_proxy
         self.on_redirected_worker: Callable[[str, str], None] | None = None
-        """Called with the owner and the machine of a worker that is redirected to its owner, where
-        there is a standby."""
+        """Called with the owner's node and the machine's name for each heartbeat of a worker that
+        belongs to another owner; None without a standby."""
         heartbeats = HeartbeatProcessor(model, tunables)
         self.command_queue = CommandQueue(model)
         self.direct_commands = DirectCommandSender(
@@ -66,19 +66,19 @@
         self._responder = HeartbeatResponder(model, heartbeats, self.command_queue, heartbeat_proxy)
 
     def expire_leases(self) -> list[Machine]:
-        """Give up machines whose leases have certainly ended; return those newly lost."""
+        """Marks machines as lost whose leases have certainly ended, and returns them."""
         return self.lease_expiry.expire_leases()
 
     def probe_unresponsive(self) -> None:
-        """Inspect machines that are silent, and give those up that do not answer."""
+        """Probes unresponsive machines, and gives up those that do not answer."""
         self.lease_expiry.probe_unresponsive()
 
     def push(self, machine: Machine) -> None:
-        """Send a machine's pending commands straight to its worker, if it can be reached."""
+        """Sends a machine's pending commands directly to its worker, if they can be sent now."""
         self.direct_commands.push(machine)
 
     def handle_heartbeat(self, body: bytes) -> Reply:
-        """Answer a worker's heartbeat, or say who answers it."""
+        """Answers a worker's heartbeat, or redirects the worker to another controller."""
         try:
             heartbeat = wire.heartbeat_decoder.decode(body)
         except msgspec.DecodeError:
@@ -94,7 +94,7 @@
                 return self._answer_for_other_owner(shard, machine, heartbeat)
             freshness = freshness_of(machine, heartbeat)
             if freshness is Freshness.NEWER:
-                # What may be a late copy shows nothing of the way from the workers to us.
+                # A possible late copy does not prove that heartbeats reach this controller.
                 self.heartbeat_reception.on_heartbeat()
             reply = (
                 self._refuse_without_lease(shard)
@@ -109,7 +109,7 @@
         return reply
 
     def _redirect_unregistered(self, heartbeat: wire.Heartbeat) -> Reply:
-        """Send the worker of a machine without a record to the leader, who adopts it."""
+        """Redirects the worker of a machine without a record to the leader, which adopts it."""
         self.unregistered_workers.on_heartbeat(heartbeat)
         leader = self._model.leader_claim
         return self._redirect(None if leader is None else leader.record.node)
@@ -117,7 +117,7 @@
     def _answer_for_other_owner(
         self, shard: Shard, machine: Machine, heartbeat: wire.Heartbeat
     ) -> Reply:
-        """Answer as the owner's proxy, or redirect the worker to the owner."""
+        """Answers as the owner's proxy, or redirects the worker to the owner."""
         machine.address = heartbeat.address
         if self.on_redirected_worker is not None and shard.claim is not None:
             self.on_redirected_worker(shard.claim.record.node, machine.name)
@@ -129,31 +129,33 @@
         return self._redirect_to_owner(shard)
 
     def _refuse_without_lease(self, shard: Shard) -> Reply | None:
-        """Refuse if this controller may not act for the shard at present."""
+        """Refuses if this controller may not renew leases of the shard's workers now."""
         if self._member.holds_lease_for(shard):
             return None
         return error_reply(503, "not entitled", RETRY_AFTER_S)
 
     def _redirect_to_peer_with_state_service(self) -> Reply | None:
-        """Redirect if our claims may have ended and a peer can hold them."""
+        """Redirects to a peer that reaches the state service if this controller's claims may have
+        expired."""
         peer = self._peer_with_state_service()
         if peer is None or self._member.lease_confirmed_within(self._tunables.claim_ttl_s):
             return None
         return self._redirect(peer)
 
     def _refuse_lost(self, machine: Machine) -> Reply | None:
-        """Refuse if the machine is lost: its tasks count as gone, so that its lease must not be
+        """Refuses if the machine is lost: its tasks count as ended, so its lease must not be
         renewed."""
         return refuse_given_up() if machine.lost else None
 
     def _apply_partition_verdict(
         self, shard: Shard, machine: Machine, heartbeat: wire.Heartbeat
     ) -> Reply | None:
-        """Redirect or answer as a proxy where a partition keeps us from acting as the owner."""
+        """Redirects or answers as a proxy if a partition keeps this controller from acting as the
+        owner."""
         verdict = self.heartbeat_proxy.partition.verdict(shard, machine, heartbeat.fencing_token)
         if verdict is HeartbeatVerdict.REDIRECT:
-            # A newer owner has reached the worker. A 200 would have to be dropped, and the worker
-            # would stay with us until its lease ends.
+            # A newer owner has reached the worker. The worker would drop a 200 from this
+            # controller, and keep sending its heartbeats here until its lease ends.
             return self._redirect_to_owner(shard)
         if verdict is HeartbeatVerdict.PROXY:
             return self._responder.answer_as_proxy(machine, heartbeat)
@@ -163,7 +165,7 @@
         return self._redirect(None if shard.claim is None else shard.claim.record.node)
 
     def _redirect(self, node: str | None) -> Reply:
-        """Redirect a worker to a controller; to none, if that would be this one."""
+        """Redirects a worker to a controller, or to none if that would be this one."""
         if node == self._member.node:
             node = None
         return Reply(421, wire.encode(wire.Redirect(node)))
