--- a/badgerseam/workers/heartbeat_responder.py
+++ b/badgerseam/workers/heartbeat_responder.py
@@ -107,8 +107,8 @@
         if is_unanswered and heartbeat.incarnation == machine.incarnation:
             if not machine.is_current_token(heartbeat.fencing_token):
                 return _answer_without_renewal(heartbeat)
-            # It was sent before the newer answer came, so it renews the lease only from that
-            # answer's arrival.
+            # It was sent before the newer answer arrived, so it renews the lease at most as of that
+            # arrival.
             machine.answered_heartbeat = position
             machine.lease_renewed_at = max(machine.lease_renewed_at, machine.last_heartbeat_at)
         # Otherwise the heartbeat precedes one that was answered, or belongs to an earlier
