--- a/badgerseam/workers/command_queue.py
+++ b/badgerseam/workers/command_queue.py
@@ -14,8 +14,8 @@
 REAP = "reap"
 
 MAX_COMMANDS = 300
-"""Maximum number of commands of a kind in one response; at about 90 bytes each they stay well
-within the limit of 64 KiB per line."""
+"""Maximum number of launches in one response, and of halts in a response to a proxied or unverified
+heartbeat. A command takes about 90 bytes, so these fit well within a line of 64 KiB."""
 
 
 class CommandQueue:
