--- a/badgerseam/api/batch.py
+++ b/badgerseam/api/batch.py
@@ -227,7 +227,11 @@
     used = machine.planned_use()
     if not machine.attempts:
         # Only the owner of its shard gets its heartbeats.
-        return "idle" if machine.incarnation or machine.listed_up or machine.address else "booting"
+        return (
+            "idle"
+            if machine.incarnation or machine.listed_running or machine.address
+            else "booting"
+        )
     return "allocated" if used.cpus >= machine.total.cpus - SLACK else "mixed"
 
 
--- a/badgerseam/fleet/boot_times.py
+++ b/badgerseam/fleet/boot_times.py
@@ -109,7 +109,7 @@
 
     def is_overdue(self, machine: Machine) -> bool:
         """Whether a machine should have booted by now, so that no work should wait for it."""
-        if machine.incarnation > 0 or machine.listed_up or machine.attempts:
+        if machine.incarnation > 0 or machine.listed_running or machine.attempts:
             return False
         age_s = self._model.clock.wall() - machine.rented_at
         # What other owners receive from it the list shows later.
--- a/badgerseam/fleet/machine_list.py
+++ b/badgerseam/fleet/machine_list.py
@@ -113,8 +113,8 @@
     def _update_listed(self, machine: Machine, entry: cloud_wire.ListedMachine) -> bool:
         """Note a listed machine's address and boot; whether it failed, or never boots."""
         machine.address = machine.address or entry.addr
-        if entry.state == "running" and not machine.listed_up:
-            machine.listed_up = True
+        if entry.state == "running" and not machine.listed_running:
+            machine.listed_running = True
             self._boot_times.listed_up(machine, entry.age_s, self._interval_s)
         if entry.state == "failed":
             log.info("machine failed machine=%s", entry.id)
--- a/badgerseam/model/machine.py
+++ b/badgerseam/model/machine.py
@@ -33,7 +33,7 @@
     """Time of day of the rental."""
     total: Resources
     dropped: bool = False
-    listed_up: bool = False
+    listed_running: bool = False
     """The cloud's list has shown it running."""
     attempts: dict[tuple[int, int], Attempt] = field(default_factory=dict)
     images: set[str] = field(default_factory=set)
