--- a/badgerseam/model/machine.py
+++ b/badgerseam/model/machine.py
@@ -87,7 +87,7 @@
     probing: bool = False
     given_up: bool = False
     """Unresponsive, and to be released, which makes certain that its tasks are gone."""
-    mute_incarnation: int = 0
+    incarnation_without_heartbeats: int = 0
     """The incarnation in which it answered probes while no heartbeats came; 0: they come."""
     lost: bool = False
     """Its lease has certainly ended; its heartbeats are not answered any more."""
@@ -144,7 +144,7 @@
         self.probing = False
         self.given_up = False
         self.lost = False
-        self.mute_incarnation = 0
+        self.incarnation_without_heartbeats = 0
         self.response_open = False
         self.first_unverified_at = None
         self.answered_heartbeat = (0, 0)
--- a/badgerseam/sched/machine_snapshots.py
+++ b/badgerseam/sched/machine_snapshots.py
@@ -33,7 +33,7 @@
     if machine.is_probably_unreachable:
         return "deaf"
     max_silence_s = MAX_MISSED_HEARTBEATS * heartbeat_interval_s + HEARTBEAT_DELAY_S
-    if machine.mute_incarnation or now - machine.last_heartbeat_at >= max_silence_s:
+    if machine.incarnation_without_heartbeats or now - machine.last_heartbeat_at >= max_silence_s:
         return "silent"
     if machine.push_failures >= MAX_PUSH_FAILURES:
         return "unreachable"
--- a/badgerseam/workers/command_queue.py
+++ b/badgerseam/workers/command_queue.py
@@ -90,7 +90,7 @@
 
     def _launches(self, machine: Machine, direct: bool) -> list[wire.Command]:
         """Launches, the most urgent first, that fit the machine and the limits of their teams."""
-        if machine.mute_incarnation:
+        if machine.incarnation_without_heartbeats:
             # The lease is not renewed, so that a launched task would be killed with it and would
             # have to be launched again.
             return []
--- a/badgerseam/workers/heartbeat_responder.py
+++ b/badgerseam/workers/heartbeat_responder.py
@@ -78,7 +78,7 @@
         """Apply a heartbeat, renew the lease and answer with the pending commands."""
         now = self._clock.now()
         self._command_acks.on_heartbeat(machine, heartbeat, now)
-        machine.mute_incarnation = 0
+        machine.incarnation_without_heartbeats = 0
         # A worker sends one heartbeat at a time, so that a newer one shows that the commands of
         # the response before it were either executed or given up.
         machine.response_open = False
--- a/badgerseam/workers/heartbeats.py
+++ b/badgerseam/workers/heartbeats.py
@@ -140,7 +140,11 @@
             attempt.stage = Stage.PLACED
             machine.sched_view = None
             attempt.job.mark_changed(attempt.task)
-        is_unfit = machine.draining or machine.is_probably_unreachable or machine.mute_incarnation
+        is_unfit = (
+            machine.draining
+            or machine.is_probably_unreachable
+            or machine.incarnation_without_heartbeats
+        )
         if attempt.stopping or is_unfit:
             # Launches were sent there with each response for ever, and were undone each time.
             self._model.unplace(attempt)
--- a/badgerseam/workers/lease_expiry.py
+++ b/badgerseam/workers/lease_expiry.py
@@ -216,10 +216,10 @@
         heartbeats, others would as well.
         """
         machine.last_heartbeat_at = self._clock.now()
-        if heartbeat.incarnation > machine.mute_incarnation > 0:
+        if heartbeat.incarnation > machine.incarnation_without_heartbeats > 0:
             _log_given_up(machine, "mute")
             machine.given_up = machine.draining = True
-        machine.mute_incarnation = machine.mute_incarnation or max(
+        machine.incarnation_without_heartbeats = machine.incarnation_without_heartbeats or max(
             machine.incarnation, heartbeat.incarnation
         )
         self._heartbeats.apply(machine, heartbeat, direct=True)
