--- a/badgerseam/cluster/heartbeat_proxy.py
+++ b/badgerseam/cluster/heartbeat_proxy.py
@@ -33,7 +33,7 @@
 from badgerseam.model.keys import node_key, proxy_key
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
-from badgerseam.model.state import STALE_S, Shard
+from badgerseam.model.state import MAX_STATE_AGE_S, Shard
 from badgerseam.store.client import (
     ConditionFailedError,
     LeaseExpiredError,
@@ -132,8 +132,8 @@
         has ended for lack of our answer, and an owner may reach a machine that does not reach it.
         """
         model = self._model
-        # What we follow is up to STALE_S old when we act on it.
-        ended_before = self._clock.now() - (model.stale_renewal_bound_s - STALE_S)
+        # What we follow is up to MAX_STATE_AGE_S old when we act on it.
+        ended_before = self._clock.now() - (model.stale_renewal_bound_s - MAX_STATE_AGE_S)
         shown = {(item.task, item.attempt) for item in heartbeat.tasks}
         return any(
             attempt.job.phase == Phase.CANCELLED
--- a/badgerseam/model/machine_groups.py
+++ b/badgerseam/model/machine_groups.py
@@ -6,7 +6,7 @@
 
 from badgerseam.model.machine import Machine
 from badgerseam.model.placements import Placements
-from badgerseam.model.state import STALE_S
+from badgerseam.model.state import MAX_STATE_AGE_S
 from badgerseam.wire import state as wire
 
 
@@ -115,4 +115,4 @@
             model.unplace(attempt)
     # It may be answered for a moment in place of its former owner, by a peer that has not seen the
     # move.
-    adopt(model, machine, STALE_S)
+    adopt(model, machine, MAX_STATE_AGE_S)
--- a/badgerseam/model/records.py
+++ b/badgerseam/model/records.py
@@ -17,7 +17,7 @@
 from badgerseam.model.resources import NOTHING, Resources
 from badgerseam.model.state import (
     CLOCK_DRIFT,
-    STALE_S,
+    MAX_STATE_AGE_S,
     Arrival,
     ObservedClaim,
     ObservedController,
@@ -195,7 +195,7 @@
     @property
     def is_up_to_date(self) -> bool:
         """Whether the changes of the state service have been followed within some intervals."""
-        return self.loaded and self.clock.now() - self.followed_at < STALE_S
+        return self.loaded and self.clock.now() - self.followed_at < MAX_STATE_AGE_S
 
     @property
     def stale_renewal_bound_s(self) -> float:
--- a/badgerseam/model/state.py
+++ b/badgerseam/model/state.py
@@ -65,7 +65,7 @@
 CLOCK_DRIFT = 1.001
 """Factor on the lease of a worker: steady clocks differ by up to 0.05 % each, and the rest is for
 slow code."""
-STALE_S = 4.0
+MAX_STATE_AGE_S = 4.0
 """How old a controller's state may be at most for it to answer in another's place: some intervals
 of the watch."""
 
--- a/badgerseam/rollout/handover.py
+++ b/badgerseam/rollout/handover.py
@@ -18,7 +18,7 @@
 from badgerseam.cluster.membership import Membership, RequestTakeover
 from badgerseam.model.keys import LEADER_KEY, claim_key
 from badgerseam.model.model import Model
-from badgerseam.model.state import STALE_S
+from badgerseam.model.state import MAX_STATE_AGE_S
 
 log = logging.getLogger("badgerseam.rollout")
 
@@ -156,7 +156,7 @@
         """Whether the record of a peer has outlasted the lease that it would have left if its
         process had ended before the drain: without one, a claim given up might stay unowned."""
         waited_s = self._clock.now() - self._began_at
-        return waited_s > self._member.claim_ttl_s + STALE_S and bool(
+        return waited_s > self._member.claim_ttl_s + MAX_STATE_AGE_S and bool(
             self._member.takeover_candidates()
         )
 
