--- a/badgerseam/replicas/reconciler.py
+++ b/badgerseam/replicas/reconciler.py
@@ -187,7 +187,7 @@
         number = 0 if shape is None else shape.number(attempt.task)
         return ReplicaKey(attempt.job.index, number)
 
-    def is_shielded(self, attempt: Attempt) -> bool:
+    def is_protected_from_claims(self, attempt: Attempt) -> bool:
         """Whether an attempt is no victim of a claim to a guarantee: its replica is not up, and
         would be down for longer."""
         return self.phase_of(attempt.job, attempt.task) not in (
--- a/badgerseam/sched/machine_snapshots.py
+++ b/badgerseam/sched/machine_snapshots.py
@@ -99,7 +99,7 @@
     )
     if job.changed_tasks is not None and replicas is not None:
         task.group = replicas.group(attempt)
-        task.high = task.high or replicas.is_shielded(attempt)
+        task.high = task.high or replicas.is_protected_from_claims(attempt)
     return task
 
 
--- a/badgerseam/sched/policies.py
+++ b/badgerseam/sched/policies.py
@@ -52,7 +52,7 @@
     def group(self, attempt: Attempt) -> tuple[int, int]:
         """The job and number of the replica to which an attempt of such a job belongs."""
 
-    def is_shielded(self, attempt: Attempt) -> bool:
+    def is_protected_from_claims(self, attempt: Attempt) -> bool:
         """Whether claims must not evict it, since its replica is not up as it is."""
 
     def reserved_on(self, machine: Machine) -> Resources:
