--- a/badgerseam/sched/__init__.py
+++ b/badgerseam/sched/__init__.py
@@ -1,1 +1,2 @@
-"""PTS, the paper's preemptive task scheduler, as pure functions."""
+"""Planning: the preemptive task scheduler (PTS) of the GFS paper as pure functions, and the planner
+that runs it and applies its plans."""
--- a/badgerseam/sched/candidates.py
+++ b/badgerseam/sched/candidates.py
@@ -1,7 +1,7 @@
-"""The machines for the tasks of one request, filtered and scored once.
+"""The candidate machines for the tasks of one request, filtered and scored once.
 
-The tasks of a request are alike, so its machines are kept in order while they are placed; only a
-machine that took a task or lost a victim is scored again.
+All tasks of a request are identical, so its machines stay sorted while the tasks are placed; only a
+machine that received a task or had a victim evicted is scored again.
 """
 
 from __future__ import annotations
@@ -19,23 +19,25 @@
 
 
 class _CandidatePool:
-    """Machines with free capacity for a task of a request, the best first.
+    """Priority queue of the machines with free capacity for a task of a request.
 
-    Machines of one score are kept by zone: a fleet of hundreds holds many that are alike, empty
-    ones above all, and comparing all of them for every task took most of a plan's time.
+    Machines with the same score are grouped by zone. A fleet of hundreds has many identical
+    machines, mostly empty ones, and comparing all of them for every task took most of the planning
+    time.
     """
 
     def __init__(self, request: Request) -> None:
         self._request = request
         self._score_heap: list[Score] = []
-        """The distinct scores."""
+        """Heap of the distinct scores, lowest (best) first."""
         self._heaps: dict[Score, dict[str, list[int]]] = {}
-        """By score and zone a heap of positions; stale ones stay in it until they are on top."""
+        """Heap of positions for each score and zone; stale positions are removed when they reach
+        the top."""
         self._scores: dict[int, Score] = {}
-        """The present score by position."""
+        """The current score of each position."""
 
     def put(self, position: int, node: MachineSnapshot) -> None:
-        """Add a machine or update its score; one without free capacity is removed."""
+        """Adds a machine or updates its score; removes it if it has no capacity for a task."""
         if not self._request.demand.fits_in(node.free):
             self._scores.pop(position, None)
             return
@@ -50,7 +52,8 @@
         heapq.heappush(zone_heaps.setdefault(node.zone, []), position)
 
     def best(self, nodes: list[MachineSnapshot], zones: dict[str, int]) -> int | None:
-        """The position of the best machine that the job's own rules allow; None if none is left."""
+        """Returns the position of the best machine that satisfies the job's constraints, or
+        None."""
         while self._score_heap:
             position = self._best_of_score(self._score_heap[0], nodes, zones)
             if position is not None:
@@ -61,7 +64,7 @@
     def _best_of_score(
         self, score: Score, nodes: list[MachineSnapshot], zones: dict[str, int]
     ) -> int | None:
-        """Of the machines of one score the one in the zone with the fewest tasks of the job."""
+        """Among the machines with one score, return one in the zone with the fewest job tasks."""
         zone_heaps = self._heaps[score]
         best: int | None = None
         fewest_tasks = 0
@@ -69,12 +72,12 @@
             positions = zone_heaps[zone]
             while positions and self._scores.get(positions[0]) != score:
                 heapq.heappop(positions)
-            # Of the job's rules only those on zones depend on what has been placed, and where a
-            # zone is full, or not the job's, that does not change any more.
+            # Only the zone constraints of a job depend on tasks that are already placed. A zone
+            # that is full or excluded stays so for the rest of the plan and can be dropped.
             if not positions or failed_job_predicates(self._request, nodes[positions[0]], zones):
                 del zone_heaps[zone]
                 continue
-            # Left open by the paper: spread over zones.
+            # The paper does not specify this tie-break: spread the job over zones.
             tasks = zones.get(zone, 0)
             if best is None or (tasks, positions[0]) < (fewest_tasks, best):
                 best, fewest_tasks = positions[0], tasks
@@ -82,11 +85,11 @@
 
 
 class Candidates:
-    """Chooses a machine, and victims if need be, for one task of a request after the other.
+    """Chooses a machine, and victims if necessary, for each task of a request in turn.
 
-    The paper's filter drops machines that do not meet the task's requirements. A start in time is
-    among these where an operator has stated one, as long as some machine meets it, surely or else
-    likely.
+    The paper's filter step drops machines that do not meet the task's requirements. Where an
+    operator has set a start time objective, starting in time is one of these requirements, as long
+    as some machine certainly meets it, or else probably does.
     """
 
     def __init__(self, state: TentativeState, request: Request, zones: dict[str, int]) -> None:
@@ -95,17 +98,18 @@
         self._zones = zones
         has_grades = state.may_evict and request.wait_s is not None
         self._pools = [_CandidatePool(request) for _ in range(GRADES if has_grades else 1)]
-        """By the worst grade of the machines in it; the last one takes any machine."""
+        """One pool per start grade, with the machines of this grade or a better one; the last pool
+        contains all machines."""
         self._may_evict = state.may_evict
         self._evictions: dict[int, PossibleEviction] | None = None
-        """Possible evictions by position; None until one is needed."""
+        """Possible evictions by position; None until they are first needed."""
         for position in state.with_free_capacity:
             node = state.nodes[position]
             if self._is_allowed(node):
                 self._put(position, node)
 
     def choose(self) -> TaskPlacement | None:
-        """The placement of the next task: without victims, or else of the least cost."""
+        """Returns a placement for the next task: without victims if possible, else the cheapest."""
         nodes = self._state.nodes
         for grade, pool in enumerate(self._pools):
             position = pool.best(nodes, self._zones)
@@ -118,7 +122,7 @@
         return None
 
     def update(self, position: int) -> None:
-        """Note that a task was placed on a machine, or that victims were evicted from it."""
+        """Updates a machine's score after a placement on it or an eviction from it."""
         node = self._state.nodes[position]
         self._put(position, node)
         if self._evictions is not None:
@@ -147,7 +151,8 @@
 
     def _possible_evictions(self) -> dict[int, PossibleEviction]:
         if self._evictions is None or not self._request.high:
-            # What another team has beyond its guarantee changes with every placement.
+            # Without high priority, only usage beyond another team's guarantee may be evicted,
+            # and that changes with every placement.
             self._evictions = {}
             for position, node in enumerate(self._state.nodes):
                 if node.running and self._is_allowed(node):
@@ -155,7 +160,7 @@
         return self._evictions
 
     def _cheapest_eviction(self, grade: int) -> TaskPlacement | None:
-        """The eviction of the least cost on a machine of a grade, or a better one."""
+        """Returns the cheapest eviction on a machine of the given start grade or a better one."""
         state, request = self._state, self._request
         if not may_preempt(state, request):
             self._may_evict = False
--- a/badgerseam/sched/diagnosis.py
+++ b/badgerseam/sched/diagnosis.py
@@ -1,7 +1,7 @@
-"""Why a request is not placed: the plan's own placement over a snapshot, with what stops it.
+"""Explains why requests are not placed, by running the plan's placement over a snapshot.
 
-No rule is defined here. Requests are placed by `pts.place`, and machines are checked by
-`predicates.PredicateCheck`: where no predicate fails, the plan places a task.
+This module defines no placement rules of its own. Requests are placed by `pts.place`, and machines
+are checked by `predicates.PredicateCheck`: the plan places a task exactly where no predicate fails.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 NO_PREDICATE = Predicate(0)
 MAX_AHEAD_LISTED = 5
-"""Jobs ahead that are named; the others are counted."""
+"""Number of jobs ahead that are listed by name; further ones are only counted."""
 
 
 @dataclass(slots=True)
 class CapacityHolder:
-    """Work of one team and rank, over the machines on which only free capacity is missing."""
+    """The running tasks of one team and rank on machines that lack only free capacity."""
 
     team: int
     rank: int
@@ -34,52 +34,56 @@
 
 @dataclass(slots=True)
 class Infeasibility:
-    """Over the machines of a snapshot, the predicates that keep the next task off them."""
+    """The predicates that prevent the next task from being placed, over all machines."""
 
     machines: int = 0
     counts: dict[Predicate, int] = field(default_factory=dict)
-    """Machines on which each predicate fails, whatever else does."""
+    """Number of machines on which each predicate fails, alone or with others."""
     alone: dict[Predicate, int] = field(default_factory=dict)
-    """Machines on which nothing else fails."""
+    """Number of machines on which each predicate is the only one that fails."""
     binding: Predicate = NO_PREDICATE
-    """The fewest predicates without which a task would be placed; of equals, those of most
-    machines. None if there is no machine at all."""
+    """The smallest set of predicates whose removal would let a task be placed; among equally small
+    sets, the one that applies to most machines. Without any machine: LIMIT if the team is at its
+    limit, else no predicate."""
     holders: list[CapacityHolder] = field(default_factory=list)
-    """Who uses the capacity where only that is missing, the largest first."""
+    """The users of the capacity on machines that lack only free capacity, largest first."""
     capacity_in_s: float = math.inf
-    """When enough capacity should free on some machine, by the teams' estimates of run times."""
+    """Seconds until some machine should have enough free capacity, by the teams' run time
+    estimates."""
     most_free: Resources = NOTHING
-    """The most that is free on one of the machines on which only free capacity is missing."""
+    """The largest free capacity of any machine that lacks only free capacity."""
 
 
 @dataclass(slots=True)
 class Finding:
-    """The outcome for one request."""
+    """The result of the diagnosis for one request."""
 
     request: Request
     placed: int
-    """Tasks that the plan places now. Of a gang: all or none."""
+    """Number of tasks that the plan places now; for a gang, all or none."""
     reached: int
-    """Tasks that were placed before the next one was not; of a gang they are undone."""
+    """Number of tasks that were placed before one could not be; for a gang they are undone."""
     infeasibility: Infeasibility | None
-    """What stops the next task; None if all are placed."""
+    """Why the next task cannot be placed; None if all are placed."""
     ahead: list[int]
-    """Jobs that wait before this one in the plan's order, the first of them."""
+    """The first jobs that wait ahead of this one in placement order, at most
+    `MAX_AHEAD_LISTED`."""
     jobs_ahead: int
     tasks_ahead: int
     used: Resources
-    """What the team uses when the request is placed."""
+    """The team's usage just before the request is placed."""
     draining: Resources
-    """What the plan has evicted of the team by then, which counts towards its limit until it has
-    ended."""
+    """Resources of the team's tasks that the plan has evicted by then. They count towards the
+    team's limit until the tasks have ended."""
 
 
 def survey(snapshot: Snapshot, jobs: Collection[int] | None = None) -> Iterator[Finding | None]:
-    """Place all requests as the plan does, with a finding for each request of the given jobs.
+    """Places the requests as the plan does, and yields a finding for each request of the given
+    jobs.
 
-    Yields after each request, None for other jobs, so that the caller can let other work run, and
-    ends after the last request of `jobs` (None: all jobs). The snapshot's requests must not change
-    meanwhile (see `without_job_state`).
+    Yields once per request, None for jobs not asked about, so that the caller can yield to the
+    event loop, and stops after the last request of `jobs` (None: all jobs). The snapshot's requests
+    must not change during the iteration (see `without_job_state`).
     """
     state = TentativeState(snapshot, True)
     remaining = None if jobs is None else {r.job for r in snapshot.requests} & set(jobs)
@@ -101,7 +105,7 @@
 
 
 def without_job_state(requests: list[Request]) -> list[Request]:
-    """Copies of requests that do not share the jobs' own state, which goes on changing."""
+    """Copies requests so that they share no mutable state with the jobs, which may change later."""
     return [
         replace(r, zone_counts=dict(r.zone_counts), avoided_machines=set(r.avoided_machines))
         for r in requests
@@ -110,14 +114,14 @@
 
 @dataclass(slots=True)
 class _JobsAhead:
-    """Requests before the present one whose tasks have not all been placed."""
+    """Counts the earlier requests that still have unplaced tasks."""
 
     first: list[int] = field(default_factory=list)
     jobs: int = 0
     tasks: int = 0
 
     def add(self, request: Request, placed: int) -> None:
-        """Count a request if some of its tasks wait."""
+        """Counts a request if some of its tasks were not placed."""
         if placed >= request.count:
             return
         self.jobs += 1
@@ -127,23 +131,23 @@
 
 
 class _MachineChecks:
-    """Checks of all machines, shared by requests of one kind while nothing changes."""
+    """Caches the checks of all machines for equivalent requests until the state changes."""
 
     def __init__(self, state: TentativeState) -> None:
         self._state = state
-        self._known: dict[tuple[object, ...], Infeasibility] = {}
+        self._cache: dict[tuple[object, ...], Infeasibility] = {}
 
     def check(self, request: Request, zones: dict[str, int]) -> Infeasibility:
-        """What keeps the next task of a request off the machines."""
-        key = (self._state.changes, *_kind(request, zones))
-        if key not in self._known:
-            self._known[key] = _check_machines(self._state, request, zones)
-        return self._known[key]
+        """Returns why no machine can take the next task of a request."""
+        key = (self._state.changes, *_cache_key(request, zones))
+        if key not in self._cache:
+            self._cache[key] = _check_machines(self._state, request, zones)
+        return self._cache[key]
 
 
 @dataclass(slots=True)
 class _FirstUnplaced:
-    """What stopped the first task that could not be placed."""
+    """Records why the first task that could not be placed was not placed."""
 
     reached: int | None = None
     infeasibility: Infeasibility | None = None
@@ -151,7 +155,7 @@
     def note(
         self, checks: _MachineChecks, request: Request, zones: dict[str, int], reached: int
     ) -> None:
-        """Check the machines when a task is not placed."""
+        """Checks the machines for a task that cannot be placed, and keeps the first result."""
         infeasibility = checks.check(request, zones)
         if self.reached is None:
             self.reached, self.infeasibility = reached, infeasibility
@@ -177,8 +181,8 @@
     )
 
 
-def _kind(request: Request, zones: dict[str, int]) -> tuple[object, ...]:
-    """What decides where a task may go: requests of one kind share their findings."""
+def _cache_key(request: Request, zones: dict[str, int]) -> tuple[object, ...]:
+    """Cache key of a request: all properties that decide where its tasks may be placed."""
     has_zone_rules = request.one_zone or request.zone_limit is not None
     return (
         request.demand,
@@ -199,25 +203,25 @@
 ) -> Infeasibility:
     result = Infeasibility(machines=len(state.nodes))
     count_by_mask: dict[int, int] = {}
-    short_of_capacity: list[MachineSnapshot] = []
+    lacking_capacity: list[MachineSnapshot] = []
     check = PredicateCheck(state, request, zones)
     free_capacity, limit = int(Predicate.FREE_CAPACITY), int(Predicate.LIMIT)
     for node in state.nodes:
         mask = check.failed(node)
         count_by_mask[mask] = count_by_mask.get(mask, 0) + 1
         if mask & ~limit == free_capacity:
-            short_of_capacity.append(node)
+            lacking_capacity.append(node)
     _count_predicates(result, count_by_mask)
     if count_by_mask:
         fewest = min(count_by_mask, key=lambda mask: (mask.bit_count(), -count_by_mask[mask], mask))
         result.binding = Predicate(fewest)
     elif not state.within_limit(request):
         result.binding = Predicate.LIMIT
-    result.holders = _holders(short_of_capacity)
-    for node in short_of_capacity:
+    result.holders = _holders(lacking_capacity)
+    for node in lacking_capacity:
         if pts.slots_of(node.free) > pts.slots_of(result.most_free):
             result.most_free = node.free
-    result.capacity_in_s = _capacity_in_s(short_of_capacity, request, state.now)
+    result.capacity_in_s = _seconds_until_capacity(lacking_capacity, request, state.now)
     return result
 
 
@@ -232,7 +236,7 @@
 
 
 def _holders(nodes: list[MachineSnapshot]) -> list[CapacityHolder]:
-    """Who uses the capacity of machines, the largest first."""
+    """Sums up the running tasks on machines by team and rank, largest first."""
     sums: dict[tuple[int, int], list[float]] = {}
     for node in nodes:
         for running in node.running:
@@ -252,17 +256,18 @@
     return holders
 
 
-def _capacity_in_s(nodes: list[MachineSnapshot], request: Request, now: float) -> float:
-    """How soon one of the machines should have the capacity for a task."""
+def _seconds_until_capacity(nodes: list[MachineSnapshot], request: Request, now: float) -> float:
+    """Seconds until one of the machines should have enough free capacity for a task."""
     soonest = math.inf
     for node in nodes:
-        soonest = min(soonest, _capacity_at(node, request, soonest))
-    # What is overdue by its team's estimate may end at any moment.
+        soonest = min(soonest, _capacity_available_at(node, request, soonest))
+    # A task that has exceeded its estimate may end at any moment.
     return max(0.0, soonest - now)
 
 
-def _capacity_at(node: MachineSnapshot, request: Request, before: float) -> float:
-    """When a machine should have the capacity for a task; infinity if not `before` a time."""
+def _capacity_available_at(node: MachineSnapshot, request: Request, before: float) -> float:
+    """When a machine should have enough free capacity for a task; infinity if not before
+    `before`."""
     free = node.free
     for running in sorted(node.running, key=_ends_at):
         if running.ends_at >= before:
--- a/badgerseam/sched/gang_eviction.py
+++ b/badgerseam/sched/gang_eviction.py
@@ -1,7 +1,7 @@
-"""Eviction of replicas that span machines: they are evicted as a whole.
+"""Eviction of replicas that span several machines; a replica is only ever evicted as a whole.
 
-A replica that lost a member serves nobody. The waste of an eviction is therefore that of the whole
-replica, over all its machines, and victims are spared replica by replica.
+A replica that has lost a member cannot serve requests. The waste of an eviction is therefore the
+waste of the whole replica over all its machines, and the victims are chosen per replica.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from badgerseam.sched.snapshot import MachineSnapshot, Request, RunningTask
 
 MayEvict = Callable[[RunningTask, Resources], bool]
-"""Whether a task may be evicted after so much of its team's work has been evicted."""
+"""Returns whether a task may be evicted, given the resources of its team already evicted."""
 
 
 class _EvictionUnit(NamedTuple):
-    """Tasks that are evicted together."""
+    """Tasks that can only be evicted together."""
 
     waste: float
-    freed_here: Resources
-    """What they free on the machine in question."""
+    freed_on_machine: Resources
+    """Resources that they free on the machine where the new task is to be placed."""
     members: list[RunningTask]
 
 
 class EvictionGroups:
-    """The replicas of a snapshot by their members.
+    """Index of the replicas of a snapshot and their members.
 
-    No replica is ever evicted in part, so that this stays true throughout a plan.
+    Replicas are never evicted in part, so the index stays valid throughout a plan.
     """
 
     def __init__(self, nodes: list[MachineSnapshot]) -> None:
@@ -41,34 +41,36 @@
                     self._positions[running.key] = position
 
     def position_of(self, member: RunningTask) -> int:
-        """The position of a member's machine."""
+        """Returns the position of a member's machine."""
         return self._positions[member.key]
 
     def members_with(self, victim: RunningTask) -> list[RunningTask]:
-        """All tasks that are evicted with a victim, itself included."""
+        """Returns all tasks that are evicted together with a victim, including the victim."""
         return [victim] if victim.group is None else self._members[victim.group]
 
     def other_positions(self, position: int, victims: Iterable[RunningTask]) -> set[int]:
-        """Positions of other machines on which victims run."""
+        """Returns the positions of all machines other than `position` on which victims run."""
         found = {self._positions[victim.key] for victim in victims if victim.group is not None}
         return found - {position}
 
     def victims_on(
         self, node: MachineSnapshot, request: Request, now: float, may_evict: MayEvict
     ) -> list[RunningTask]:
-        """The victims that make a task fit on a machine, with all that are evicted with them.
+        """Returns the tasks to evict so that a new task fits on a machine; empty if it would not
+        fit.
 
-        The replicas and tasks of the greatest waste are spared. Empty if the task would not fit.
+        The list includes the members on other machines. Replicas and tasks with the greatest waste
+        are spared first.
         """
         units = self._units_on(node, now, may_evict)
         free = node.free
         for unit in units:
-            free = free.plus(unit.freed_here)
+            free = free.plus(unit.freed_on_machine)
         if not units or not request.demand.fits_in(free):
             return []
         chosen: list[_EvictionUnit] = []
         for unit in sorted(units, key=lambda unit: -unit.waste):
-            free_without = free.minus(unit.freed_here)
+            free_without = free.minus(unit.freed_on_machine)
             if request.demand.fits_in(free_without):
                 free = free_without
             else:
@@ -78,7 +80,7 @@
     def _units_on(
         self, node: MachineSnapshot, now: float, may_evict: MayEvict
     ) -> list[_EvictionUnit]:
-        """The tasks and replicas on a machine that may be evicted together."""
+        """Returns the evictable units, single tasks or whole replicas, with tasks on a machine."""
         units: list[_EvictionUnit] = []
         evicted_by_team: dict[int, Resources] = {}
         seen: set[tuple[int, int]] = set()
@@ -89,18 +91,18 @@
                 seen.add(candidate.group)
             members = self.members_with(candidate)
             evicted = evicted_by_team.get(candidate.team, NOTHING)
-            freed_here = NOTHING
+            freed_on_machine = NOTHING
             for member in members:
                 if not may_evict(member, evicted):
                     break
                 evicted = evicted.plus(member.demand)
-                if member is candidate or self._is_beside(member, candidate):
-                    freed_here = freed_here.plus(member.demand)
+                if member is candidate or self._is_on_same_machine(member, candidate):
+                    freed_on_machine = freed_on_machine.plus(member.demand)
             else:
                 evicted_by_team[candidate.team] = evicted
                 waste = sum(member.waste(now) for member in members)
-                units.append(_EvictionUnit(waste, freed_here, members))
+                units.append(_EvictionUnit(waste, freed_on_machine, members))
         return units
 
-    def _is_beside(self, member: RunningTask, other: RunningTask) -> bool:
+    def _is_on_same_machine(self, member: RunningTask, other: RunningTask) -> bool:
         return self._positions[member.key] == self._positions[other.key]
--- a/badgerseam/sched/gang_placement.py
+++ b/badgerseam/sched/gang_placement.py
@@ -1,7 +1,7 @@
-"""Placement of a replica that spans machines: all of its tasks that need capacity, or none.
+"""All-or-nothing placement of a replica that spans several machines.
 
-The tasks are alike, so a machine counts by how many of them it takes, and sums tell whether a
-choice can still be completed with the machines that are left.
+The tasks are identical, so a machine is described by how many of them it can take, and sums of
+these counts show whether a partial choice can still be completed with the remaining machines.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 @dataclass(slots=True)
 class MachineCapacity:
-    """The machine at a position, and how many tasks of the replica it takes."""
+    """The number of tasks of the replica that the machine at a position can take."""
 
     position: int
     count: int
     has_members: bool = False
-    """The replica has members there that stay."""
+    """Whether members of the replica run on this machine and stay there."""
 
 
 class _GangPositions(NamedTuple):
-    """A position for each task of a replica."""
+    """The chosen machine position for each task of a replica."""
 
     ready_s: float
-    """Seconds until the slowest of them runs."""
+    """Seconds until the slowest task runs."""
     positions: list[int]
 
 
@@ -44,11 +44,11 @@
     min_machines: int,
     max_machines: int | None,
 ) -> list[int]:
-    """A position for each of `count` tasks, the first machines preferred; empty if there is none.
+    """Chooses a position for each of `count` tasks; empty if they cannot all be placed.
 
-    `used_machines`: those with members that stay. The replica spans `min_machines` to
-    `max_machines` in the end. A machine is only chosen if the tasks that are left can still be
-    placed.
+    Earlier entries of `capacities` are preferred. `used_machines` is the number of machines with
+    members that stay. The complete replica has to span `min_machines` to `max_machines` machines. A
+    machine is only chosen if the remaining tasks can still be placed afterwards.
     """
     positions: list[int] = []
     for index, capacity in enumerate(capacities):
@@ -73,7 +73,7 @@
     min_machines: int,
     max_machines: int | None,
 ) -> bool:
-    """Whether so many more tasks can be placed within the bounds on machines."""
+    """Whether `count` more tasks can be placed within the bounds on the number of machines."""
     if max_machines is not None and used_machines > max_machines:
         return False
     missing_machines = max(0, min_machines - used_machines)
@@ -84,12 +84,13 @@
         return False
     if max_machines is not None:
         new = new[: max_machines - used_machines]
-    # Where more machines are required than the largest ones suffice for, one task goes to each.
+    # Comparing sums is sufficient: if more machines are required than the largest ones that hold
+    # all tasks, the tasks can be spread with one on each missing machine.
     return sum(new) + sum(item.count for item in capacities if item.has_members) >= count
 
 
 def place(state: TentativeState, request: Request, on_unplaced: OnUnplaced | None = None) -> int:
-    """Place the tasks of a replica's request, all or none; the number that will be started."""
+    """Places all or none of the tasks of a replica's request; returns how many will be started."""
     rules = request.gang_rules
     assert rules is not None
     if request.count <= 0:
@@ -113,28 +114,28 @@
 
 
 class _GangSearch:
-    """The search for the machines of one replica."""
+    """Searches machines for the tasks of one replica."""
 
     def __init__(self, state: TentativeState, request: Request, rules: GangRules) -> None:
         self._state = state
         self._request = request
         self._rules = rules
         self.max_placeable = 0
-        """The most tasks for which there was capacity in any set of machines."""
+        """The largest number of tasks for which any set of machines had capacity."""
         self.moves_whole = False
-        """The whole replica is to be moved."""
+        """Whether the whole replica is to be moved."""
 
     # ---- reserved capacity ----
 
     def release_reserved(self) -> None:
-        """Let the replica use the capacity that is reserved for it."""
+        """Makes the capacity that is reserved for the replica available to it."""
         for position in self._reserved_positions():
             node = self._state.mutable_node(position)
             node.free = node.free.plus(self._request.demand)
             self._state.on_capacity_changed(position)
 
     def reserve_again(self) -> None:
-        """Keep the reserved capacity from other requests."""
+        """Takes the reserved capacity away from other requests again."""
         for position in self._reserved_positions():
             node = self._state.mutable_node(position)
             node.free = node.free.minus(self._request.demand)
@@ -150,28 +151,34 @@
     # ---- search ----
 
     def place_soonest(self) -> bool:
-        """Place the replica where it is up the soonest; False if it does not fit anywhere."""
+        """Places the replica where it becomes ready soonest; returns False if it fits nowhere."""
         for evict in (False, True):
             if evict and not self._may_evict():
                 break
-            beside = self._soonest(self._request, evict)
+            beside_staying = self._find_soonest(self._request, evict)
             if self._rules.may_move_whole and self._rules.staying_members and not evict:
                 whole = self._request_for_whole()
-                elsewhere = self._soonest(whole, evict)
-                if elsewhere is not None and self._is_move_sooner(elsewhere, beside):
+                elsewhere = self._find_soonest(whole, evict)
+                if elsewhere is not None and self._is_move_sooner(elsewhere, beside_staying):
                     self.moves_whole = True
                     return self._place_at(whole, elsewhere.positions, evict)
-            if beside is not None:
-                return self._place_at(self._request, beside.positions, evict)
+            if beside_staying is not None:
+                return self._place_at(self._request, beside_staying.positions, evict)
         return False
 
-    def _is_move_sooner(self, elsewhere: _GangPositions, beside: _GangPositions | None) -> bool:
-        # The weights of those that stay are what a restart costs: replacing one member is slower
-        # only where its image has to be fetched from afar and is there already elsewhere.
-        return beside is None or elsewhere.ready_s + self._rules.stop_s < beside.ready_s
+    def _is_move_sooner(
+        self, elsewhere: _GangPositions, beside_staying: _GangPositions | None
+    ) -> bool:
+        # A restart of the whole replica costs the members that stay the time to load their weights
+        # again. Replacing a single member takes longer only if its image has to be fetched, while
+        # the machines elsewhere already have it.
+        return (
+            beside_staying is None
+            or elsewhere.ready_s + self._rules.stop_s < beside_staying.ready_s
+        )
 
     def _request_for_whole(self) -> Request:
-        """The request for all tasks of the replica, those that run included."""
+        """Returns a request for all tasks of the replica, including those that run."""
         zones = dict(self._request.zone_counts)
         for member in self._rules.staying_members:
             zones[member.zone] = zones.get(member.zone, 0) - 1
@@ -183,20 +190,21 @@
         )
 
     def _may_evict(self) -> bool:
-        # Nothing is evicted for a reservation: it would be lost with the owner's memory, and the
-        # eviction in vain.
+        # Nothing is evicted for a reservation: reservations exist only in the owner's memory, and
+        # losing one would make the eviction pointless.
         return (
             self._state.may_evict
             and not self._rules.reserve_only
             and may_preempt(self._state, self._request)
         )
 
-    def _soonest(self, request: Request, evict: bool) -> _GangPositions | None:
-        """The positions that are ready the soonest, or with `evict` the first that fit."""
+    def _find_soonest(self, request: Request, evict: bool) -> _GangPositions | None:
+        """Returns the positions that are ready soonest, or with `evict` the first set that fits."""
         best: _GangPositions | None = None
         nodes = self._state.nodes
         for positions in self._machine_sets(request):
-            # It is up when its slowest member is: an image on all machines but one is of no use.
+            # A replica is ready only when its slowest member is, so machines that already have the
+            # image help only if all of the chosen ones do.
             with_image = [
                 position for position in positions if request.image in nodes[position].images
             ]
@@ -212,7 +220,7 @@
         return best
 
     def _machine_sets(self, request: Request) -> Iterator[list[int]]:
-        """The positions that the rules allow, by zone and type where these have to be the same."""
+        """Yields sets of allowed positions, one per zone or type where all tasks must share it."""
         rules = request.gang_rules
         assert rules is not None
         needs_one_zone = rules.same_zone or request.one_zone
@@ -227,12 +235,12 @@
                 continue
             key = (node.zone if needs_one_zone else "", node.type if rules.same_type else "")
             sets.setdefault(key, []).append(position)
-        # Left open by the paper: spread over zones.
+        # The paper does not specify this order: spread the job over zones.
         for key in sorted(sets, key=lambda key: (request.zone_counts.get(key[0], 0), key)):
             yield sets[key]
 
     def _choose_among(self, request: Request, positions: list[int], evict: bool) -> list[int]:
-        """A position for each task of the request among those given; empty if it does not fit."""
+        """Chooses a position for each task among those given; empty if the request does not fit."""
         rules = request.gang_rules
         assert rules is not None
         staying = {member.machine for member in rules.staying_members}
@@ -255,14 +263,17 @@
         )
 
     def _cost(self, node: MachineSnapshot, request: Request) -> float | None:
-        """The cost of placing one task on a machine; None if that is not possible."""
+        """Returns the eviction cost of placing one task on a machine, or None if impossible."""
         if request.demand.fits_in(node.free):
             return 0.0
         eviction = possible_eviction(self._state, node, request)
         return None if eviction is None else eviction.cost(self._state)
 
     def _free_after_evictions(self, node: MachineSnapshot, request: Request) -> Resources:
-        """A machine's free capacity after all possible evictions; a claim may get less of it."""
+        """Returns a machine's free capacity after all possible evictions.
+
+        This is an upper bound: a claim to a guarantee may cover only some of these evictions.
+        """
         state, free = self._state, node.free
         groups = state.eviction_groups
         for running in node.running:
@@ -274,7 +285,7 @@
     def _within_zone_limit(
         self, request: Request, capacities: list[MachineCapacity]
     ) -> list[MachineCapacity]:
-        """The capacities cut to the number of tasks that the job may have in a zone."""
+        """Reduces the capacities to the number of tasks that the job may have in each zone."""
         if request.zone_limit is None:
             return capacities
         remaining: dict[str, int] = {}
@@ -291,9 +302,9 @@
     # ---- placement ----
 
     def _place_at(self, request: Request, positions: list[int], evict: bool) -> bool:
-        """Place a task at each position; False, with nothing changed, if one does not fit.
+        """Places a task at each position; returns False and changes nothing if one does not fit.
 
-        That may happen where a claim does not reach as far as all of its victims.
+        A task may not fit if the claim to a guarantee does not cover all of the evictions.
         """
         state, rules = self._state, self._rules
         only_reserves = rules.reserve_only or self.moves_whole
@@ -312,7 +323,7 @@
         return True
 
     def _victims_at(self, position: int, request: Request, evict: bool) -> list[Victim] | None:
-        """The victims for a task at a position; None if it does not fit there."""
+        """Returns the victims for a task at a position, or None if it does not fit there."""
         state = self._state
         node = state.nodes[position]
         if request.demand.fits_in(node.free):
--- a/badgerseam/sched/machine_snapshots.py
+++ b/badgerseam/sched/machine_snapshots.py
@@ -1,4 +1,4 @@
-"""Machines as the scheduler sees them."""
+"""Builds machine snapshots for the scheduler, and decides which machines are usable."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 MAX_PUSH_FAILURES = 3
 """Failed attempts to send commands after which a machine counts as unreachable."""
 MAX_MISSED_HEARTBEATS = 3
+"""Missed heartbeats after which a machine counts as silent."""
 HEARTBEAT_DELAY_S = 0.5
-"""By how much a heartbeat may be late."""
+"""Seconds by which a heartbeat may be late."""
 DEFAULT_FETCH_GB_PER_S = 1.0
-"""For machine types that the cloud does not offer any more."""
+"""Image fetch rate of machine types that the cloud no longer offers."""
 
 
 def unusable_reason(machine: Machine, now: float, heartbeat_interval_s: float) -> str | None:
-    """Why no tasks may be placed on a machine now; None if they may."""
+    """Returns why no tasks may be placed on a machine now; None if they may."""
     if machine.dropped:
         return "released"
     if machine.lost:
@@ -45,7 +46,7 @@
 def build_machine_snapshot(
     machine: Machine, types: Mapping[str, MachineType], replicas: ReplicaPolicy | None
 ) -> MachineSnapshot:
-    """A snapshot of a machine with all tasks on it that are not about to end."""
+    """Returns a snapshot of a machine with all tasks on it except those about to end."""
     machine_type = types.get(machine.type)
     high_slots = low_slots = 0.0
     running: list[RunningTask] = []
@@ -104,7 +105,7 @@
 
 
 def estimated_end(attempt: Attempt) -> float:
-    """When a task should end by its team's estimate; infinity for a service."""
+    """Returns when a task should end by its team's estimate; infinity for a service."""
     if attempt.job.is_service:
         return math.inf
     return (attempt.started_at or attempt.planned_at) + attempt.job.spec.estimate_s
--- a/badgerseam/sched/oldest_job.py
+++ b/badgerseam/sched/oldest_job.py
@@ -1,10 +1,10 @@
-"""The low-priority job that goes first because it has waited for longest.
+"""Ageing: promotes the low-priority job that has waited longest, so that it does not starve.
 
-By deadline alone what is late goes last, and in a long burst a large array, which is late before it
-is placed, waited for six minutes beside small ones that came and went. One job at a time goes
-first, and for a part of the starts only: were all that is late to go first, nothing would be in
-time any more. Each start of other low-priority work gives the shard credit, each start of the
-oldest job uses some.
+With deadline order alone, late jobs go last. In a long burst of submissions a large array, late
+before any of it was placed, waited for six minutes while small jobs started and finished. Only one
+job at a time is promoted, and only for a fraction of the starts: if all late jobs went first, no
+job would start in time any more. The fraction is enforced with credit: each start of another
+low-priority task adds credit to the shard, and each start of the oldest job uses some.
 """
 
 from __future__ import annotations
@@ -15,25 +15,26 @@
 from badgerseam.sched.snapshot import Plan, Request
 
 AGING_FRACTION = 0.5
-"""Part of the time in which a job should begin after which it ages."""
+"""Fraction of `begin_s`, the time within which a job should begin, after which it counts as
+aged."""
 OLDEST_JOB_FRACTION = 0.25
-"""Part of the starts of low-priority work that the oldest job may have while it can still begin in
-time. Measured in a long burst: with half of them, fewer large jobs began whole in time than without
-any ageing, since young ones, which could have, waited as well."""
+"""Fraction of the low-priority starts that the oldest job may use while it can still begin in time.
+Measured in a long burst of submissions: with 0.5, fewer large jobs began completely in time than
+without ageing, because newer large jobs, which could have begun in time, had to wait as well."""
 LATE_FRACTION = 0.1
-"""The same of a job that cannot begin in time any more."""
+"""The same fraction for a job that can no longer begin in time."""
 OLDEST_JOB_MAX_CREDIT = 64.0
-"""Starts that may be saved up for the oldest job."""
+"""Most starts that may be accumulated as credit for the oldest job."""
 GANG_GATHER_S = 60.0
-"""How long free capacity is kept for an aged gang at most, before other work is placed."""
+"""Longest time for which free capacity is kept for an aged gang before other work is placed."""
 
 
 def find_oldest_request(
     model: Model, shard: Shard, requests: list[Request], begin_s: float
 ) -> Request | None:
-    """The request that goes first, if one has waited for too long and the shard has credit for it.
+    """Returns the request of the oldest aged job if the shard has credit for it; None otherwise.
 
-    `begin_s`: the time in which a job should begin.
+    `begin_s`: seconds after submission within which all tasks of a job should have begun.
     """
     if shard.oldest_job_credit <= 0:
         return None
@@ -46,7 +47,7 @@
         job = model.jobs[request.job]
         if request.rank >= HIGH_RANK or job is None or job.is_failing:
             continue
-        # A task that was tried has begun: it was stopped, or lost, since.
+        # A task that has been tried counts as begun, even if it has been stopped or lost since.
         if job.submitted > aged_before or len(job.tries) >= job.tasks:
             continue
         order = (job.submitted <= late_before, job.queue_position)
@@ -59,7 +60,7 @@
 
 
 def count_starts(shard: Shard, requests: list[Request], plan: Plan, now: float) -> None:
-    """Divide the starts of low-priority work between the oldest job and the others."""
+    """Updates the shard's credit for the oldest job after a plan."""
     oldest = next((request for request in requests if request.oldest_waiting), None)
     low_priority = {request.job for request in requests if request.rank < HIGH_RANK}
     for start in plan.starts:
@@ -71,6 +72,7 @@
         shard.oldest_job = None if oldest is None else oldest.job
         shard.oldest_job_since = now
     elif oldest.gathers_capacity and now - shard.oldest_job_since > GANG_GATHER_S:
-        # It may never fit: others go on until as many of them have started.
+        # The gang may never fit. Other jobs go first again until OLDEST_JOB_MAX_CREDIT of their
+        # tasks have started.
         shard.oldest_job_credit = -OLDEST_JOB_MAX_CREDIT
         shard.oldest_job = None
--- a/badgerseam/sched/placement.py
+++ b/badgerseam/sched/placement.py
@@ -1,4 +1,4 @@
-"""The tentative placement of a request's tasks, which can be undone as a whole."""
+"""Tentative placement of the tasks of a request, which can be rolled back as a whole."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from badgerseam.sched.tentative_state import TentativeState
 
 OnUnplaced = Callable[[dict[str, int], int], None]
-"""Called when the next task of a request cannot be placed, before a gang is undone, with the job's
-tasks by zone and the number of tasks that were placed."""
+"""Callback for when the next task of a request cannot be placed, called before a gang is rolled
+back. Arguments: the job's tasks by zone, and the number of tasks that were placed."""
 
 
 class Victim(NamedTuple):
@@ -19,22 +19,22 @@
 
     task: RunningTask
     cost: float
-    """Of all victims for the placement together."""
+    """Cost of evicting all victims of the placement together."""
 
 
 @dataclass(slots=True)
 class TaskPlacement:
-    """One task on the machine at a position, and the victims it evicts."""
+    """A task placed on the machine at a position, and the victims evicted for it."""
 
     position: int
     victims: list[Victim]
 
 
 class RequestPlacement:
-    """The tasks of one request that have been placed in a tentative state.
+    """The tasks of one request placed so far in a tentative state.
 
-    `uses_quota`: whether they count as used by their team. Capacity that is only reserved for
-    running tasks does not.
+    `uses_quota`: whether the tasks count as usage of their team. Capacity that is only reserved for
+    tasks that are already running does not.
     """
 
     def __init__(self, state: TentativeState, request: Request, uses_quota: bool = True) -> None:
@@ -43,11 +43,11 @@
         self._uses_quota = uses_quota
         self._team = state.teams[request.team]
         self.zones = dict(request.zone_counts)
-        """The job's tasks by zone, those placed here included."""
+        """The job's tasks by zone, including those placed here."""
         self.tasks: list[TaskPlacement] = []
 
     def add(self, task: TaskPlacement) -> None:
-        """Place a task after its victims have been evicted."""
+        """Evicts a task's victims, then places the task."""
         state, request = self._state, self._request
         for victim in task.victims:
             state.evict(state.position_of(victim.task, task.position), victim.task)
@@ -57,7 +57,7 @@
         self.tasks.append(task)
 
     def undo(self) -> None:
-        """Leave the state as it was before the first task."""
+        """Restores the state from before the first task was placed."""
         state, request = self._state, self._request
         for task in reversed(self.tasks):
             if self._uses_quota:
@@ -68,15 +68,16 @@
         self.tasks.clear()
 
     def commit(self) -> None:
-        """Add the evictions to the plan, and note what may be placeable now."""
+        """Adds the evictions to the plan, and drops requests from `unplaced` that may fit now."""
         if not self.tasks:
             return
         state, request = self._state, self._request
-        # The team may exceed its guarantee by more: another may claim that now.
+        # The team's usage has grown and may exceed its guarantee by more; another team may now
+        # claim that excess, so its unplaced requests have to be tried again.
         state.unplaced = [other for other in state.unplaced if other.team == request.team]
         for task in self.tasks:
             if task.victims:
-                # The capacity they free may serve requests that could not be placed before.
+                # Capacity freed by victims may fit requests that could not be placed before.
                 state.unplaced.clear()
             state.result.stops += [
                 TaskStop(victim.task.key, victim.cost, request.wait_s, request.job)
--- a/badgerseam/sched/planner.py
+++ b/badgerseam/sched/planner.py
@@ -1,4 +1,4 @@
-"""Plans for the shards that this controller owns: takes a snapshot and carries out the plan."""
+"""Plans the shards that this controller owns: builds snapshots, runs PTS and applies the plans."""
 
 from __future__ import annotations
 
@@ -21,22 +21,24 @@
 log = logging.getLogger("badgerseam.sched")
 
 SAVE_SLACK_S = 1.5
-"""From the end of a checkpoint to the start of the next task: a heartbeat, a start, an image."""
-HOPEFUL_FRACTION = 0.5
-"""Part of its estimate in which a task may well end, estimates being as wrong as that."""
+"""Seconds from the end of a checkpoint to the start of the next task: one heartbeat, the start of
+the task and the fetch of its image."""
+MIN_ESTIMATE_FRACTION = 0.5
+"""Fraction of its estimate within which a task may well end, since run time estimates are that
+inaccurate."""
 LATE_ORDER_OFFSET_S = 1e7
-"""Puts jobs that are too late behind those that can still be in time."""
+"""Offset that orders jobs that can no longer meet their deadline behind those that can."""
 NO_DEADLINE_S = 1e6
-"""Deadline after submission for the order of jobs that have none."""
+"""Deadline, in seconds after submission, by which jobs without a deadline are ordered."""
 MAX_STARTS = 400
-"""Tasks of a job planned at once, so that one of 100,000 does not hold the loop; more are planned
-in the next round, when these are on their way to be durable."""
+"""Most tasks of a job planned in one round, so that a job with 100,000 tasks does not block the
+event loop. The next round plans more while the placements of this one are being written."""
 
 
 class Planner:
-    """Plans for the shards that this controller owns.
+    """Plans the shards that this controller owns.
 
-    `classes`, `runs` and `replicas` are set by the parts that implement them, if they are in use.
+    `classes`, `runs` and `replicas` are set by the components that implement them, if in use.
     """
 
     def __init__(self, model: Model, tunables: Tunables) -> None:
@@ -53,7 +55,7 @@
                 self._wait_s_by_class[objective.job_class] = objective.within_s
 
     def wait_s(self, job: Job) -> float | None:
-        """How soon tasks of the job should start by the objectives; None if none applies."""
+        """Returns within how many seconds the objectives want the job's tasks to start, or None."""
         stated = [
             self._wait_s_by_class[job_class]
             for job_class in (job.spec.job_class, None)
@@ -66,7 +68,7 @@
     def snapshot(
         self, shard: Shard, nodes: list[pts.MachineSnapshot], requests: list[pts.Request]
     ) -> pts.Snapshot:
-        """The input of PTS for a shard."""
+        """Returns the input of PTS for a shard."""
         model = self._model
         teams = {
             index: pts.TeamUse(model.usage(index), team.guarantee, team.limit)
@@ -86,7 +88,7 @@
         )
 
     def nodes(self, shard: Shard) -> list[pts.MachineSnapshot]:
-        """The shard's machines on which tasks may be placed now."""
+        """Returns snapshots of the shard's machines on which tasks may be placed now."""
         now = self._clock.now()
         return [
             self.node(machine, now)
@@ -99,11 +101,11 @@
         return self.unusable_reason(machine, now) is None
 
     def unusable_reason(self, machine: Machine, now: float) -> str | None:
-        """Why no tasks may be placed on the machine now; None if they may."""
+        """Returns why no tasks may be placed on the machine now; None if they may."""
         return unusable_reason(machine, now, self._model.settings.params.workers.report_s)
 
     def node(self, machine: Machine, now: float) -> pts.MachineSnapshot:
-        """A snapshot of a machine, built again only after the machine has changed."""
+        """Returns a snapshot of a machine, which is rebuilt only after the machine has changed."""
         while machine.evictions and now - machine.evictions[0] > self._tunables.window_s:
             machine.evictions.popleft()
         node = machine.sched_view
@@ -116,7 +118,7 @@
     # ---- requests ----
 
     def requests(self, shard: Shard) -> list[pts.Request]:
-        """The shard's waiting work."""
+        """Returns requests for all waiting tasks of the shard."""
         now = self._clock.now()
         if self.runs is not None:
             self.runs.begin_round(shard.index, now)
@@ -132,10 +134,11 @@
         return requests
 
     def _waiting_request(self, job: Job, now: float) -> pts.Request | None:
-        """The request for a job's waiting tasks; None if none of them may start now."""
+        """Returns a request for a job's waiting tasks, or None if none of them may start now."""
         if job.waiting() <= 0 or self.hold_reason(job, now) is not None:
             return None
-        # Of a job that fails wherever it runs, one task at a time shows when that changes.
+        # For a job that fails on every machine, a single task at a time is enough to find out
+        # whether it still does.
         count = 1 if job.is_failing and not job.is_gang else job.waiting()
         if job.spec.terms is not None:
             max_starts = self.terms.max_starts(job)
@@ -148,7 +151,7 @@
         return self.request(job, count)
 
     def hold_reason(self, job: Job, now: float) -> str | None:
-        """Why no task of a job with waiting tasks is planned now; None if they are."""
+        """Returns why none of a job's waiting tasks may be planned now; None if they may."""
         if job.phase != Phase.OPEN:
             return "ended"
         if job.spec.terms is not None:
@@ -168,14 +171,14 @@
         return None
 
     def request(self, job: Job, count: int) -> pts.Request:
-        """A request for `count` tasks of a job, with the rules that apply to them."""
+        """Returns a request for `count` tasks of a job, with the constraints that apply to them."""
         spec = job.spec
         return pts.Request(
             job=job.index,
             count=count if job.is_gang else min(count, MAX_STARTS),
             demand=job.demand,
             rank=job.rank,
-            # A job that fails everywhere is tried where capacity is free, and evicts nothing.
+            # A job that fails on every machine may only use free capacity and evicts nothing.
             high=job.rank >= HIGH_RANK and not job.is_failing,
             team=job.team,
             types=job.types,
@@ -195,7 +198,7 @@
         )
 
     def _order(self, job: Job) -> float:
-        """The time of day by which jobs of a rank are ordered, the earliest first."""
+        """Returns the sort key of a job within its rank: a time of day, earliest first."""
         spec = job.spec
         deadline = math.inf if spec.deadline_s is None else job.submitted + spec.deadline_s
         if job.rank >= HIGH_RANK:
@@ -205,15 +208,15 @@
         stated = None if self.runs is None else self.runs.order_time(job)
         if stated is not None:
             order = stated
-        if deadline < self._clock.wall() + HOPEFUL_FRACTION * spec.estimate_s:
-            # Too late in any case: it goes behind what can still be in time.
+        if deadline < self._clock.wall() + MIN_ESTIMATE_FRACTION * spec.estimate_s:
+            # The deadline can no longer be met: order the job behind those that can meet theirs.
             order += LATE_ORDER_OFFSET_S
         return order
 
     # ---- plans ----
 
     def run(self, shard: Shard) -> dict[int, int]:
-        """Plan for a shard and carry the plan out; the unplaced tasks by job."""
+        """Plans a shard and applies the plan; returns the number of unplaced tasks by job."""
         requests = self.requests(shard)
         if not requests:
             return {}
@@ -266,9 +269,10 @@
             machine.idle_since = now
 
     def stop(self, attempt: Attempt, wait_s: float | None = None) -> None:
-        """Have an attempt stopped, with time for a checkpoint if no work is kept waiting by it.
+        """Stops an attempt, with a grace period for a checkpoint if the preempting task can wait.
 
-        `wait_s`: how soon the preempting work should start.
+        `wait_s`: seconds within which the preempting task should start; None if there is no such
+        objective.
         """
         spec = attempt.job.spec
         attempt.stopping = True
@@ -282,11 +286,12 @@
         self._model.machines_to_push.add(attempt.machine.index)
 
     def is_free_of_work(self, machine: Machine) -> bool:
-        """Whether nothing can be on the machine and nothing is meant for it."""
+        """Whether nothing can be running on the machine and no work is destined for it."""
         return (
             not machine.attempts
             and machine.untracked_use == NOTHING
             and not machine.command_in_flight
-            # An empty machine that a move has reserved was passed on before it was used.
+            # Without this check, an empty machine reserved for a replica move was transferred to
+            # another shard before the replica could use it.
             and (self.replicas is None or self.replicas.reserved_on(machine) == NOTHING)
         )
--- a/badgerseam/sched/policies.py
+++ b/badgerseam/sched/policies.py
@@ -1,4 +1,4 @@
-"""What the planner asks of the optional parts: priority classes, runs of plans, replicas."""
+"""Interfaces between the planner and optional components: priority classes, runs, replicas."""
 
 from __future__ import annotations
 
@@ -12,51 +12,54 @@
 
 
 class ClassPolicy(Protocol):
-    """Priority classes, if operators have declared any."""
+    """Policy of the priority classes, present if operators have declared any."""
 
     def effective_class(self, job: Job) -> int:
-        """The job's class; the first one is 0."""
+        """Returns the number of the job's class; the most urgent class is 0."""
 
     def reserve_capacity(self, shard: Shard, snapshot: Snapshot, leading: bool = False) -> None:
-        """Reserve capacity from lower classes before a shard is planned for."""
+        """Withholds capacity from lower classes before a shard is planned."""
 
     def on_plan(self, shard: Shard, snapshot: Snapshot, result: Plan) -> None:
-        """Called before a plan is carried out."""
+        """Inspects a plan before it is applied."""
 
     def cautious_below(self) -> int | None:
-        """The class below which the leader moves no machines now; None if it does for all."""
+        """Returns the class below which the leader moves no machines now; None if there is no
+        bound."""
 
 
 class RunPolicy(Protocol):
-    """Runs of plans, if operators have declared any."""
+    """Policy of the runs of plans, present if operators have declared any."""
 
     def hold_reason(self, job: Job) -> str | None:
-        """Why no more of the job's tasks start now; None if they may."""
+        """Returns why no further tasks of the job may start now; None if they may."""
 
     def begin_round(self, shard: int, now: float) -> None:
-        """Called before `max_starts` is asked for the jobs of a shard."""
+        """Starts a planning round of a shard; called before `max_starts` of its jobs."""
 
     def max_starts(self, job: Job) -> int | None:
-        """How many of the job's tasks may start in this round; None: as many as wait."""
+        """Returns how many of the job's tasks may start in this round; None for no bound."""
 
     def order_time(self, job: Job) -> float | None:
-        """Replaces the time of day by which jobs of a rank are ordered, if a plan states one."""
+        """Returns the time of day that replaces the job's sort key within its rank, or None."""
 
 
 class ReplicaPolicy(Protocol):
-    """Replicas that span machines, if operators have declared any."""
+    """Policy of replicas that span machines, present if operators have declared any."""
 
     def requests(self, job: Job, now: float) -> list[Request]:
-        """What the replicas of a job with `changed_tasks` need now."""
+        """Returns the requests of the replicas of a job that has `changed_tasks`."""
 
     def group(self, attempt: Attempt) -> tuple[int, int]:
-        """The job and number of the replica to which an attempt of such a job belongs."""
+        """Returns job index and number of the replica to which an attempt of such a job belongs."""
 
     def is_protected_from_claims(self, attempt: Attempt) -> bool:
-        """Whether claims must not evict it, since its replica is not up as it is."""
+        """Whether claims must not evict the attempt, since its replica is not up and would be down
+        for longer."""
 
     def reserved_on(self, machine: Machine) -> Resources:
-        """Capacity reserved on a machine for members that are to start there."""
+        """Returns the capacity reserved on a machine for replica members that are to start
+        there."""
 
     def carry_out(self, shard: Shard, plan: Plan) -> None:
-        """Place the replicas that the plan has placed, and evict replicas as a whole."""
+        """Applies the plan's replica placements, and evicts replicas as a whole."""
--- a/badgerseam/sched/predicates.py
+++ b/badgerseam/sched/predicates.py
@@ -1,7 +1,7 @@
 """The predicates that decide whether a task may be placed on a machine.
 
-Each predicate is defined here once: planning asks whether any of them fails, an explanation
-(`sched/diagnosis.py`) asks which.
+This is the only definition of each predicate: planning checks whether any of them fails, and the
+diagnosis of unplaced tasks (`sched/diagnosis.py`) determines which ones do.
 """
 
 from __future__ import annotations
@@ -14,27 +14,31 @@
 
 
 class Predicate(IntFlag):
-    """A rule that keeps a task off a machine. Bits, since several may fail at once."""
+    """A condition for placing a task on a machine. A set of flags, as several may fail at once."""
 
     TYPE = 1
+    """The job may not use machines of this type."""
     ZONE = 2
+    """The job may not use machines in this zone."""
     SPOT = 4
     """The job may not use spot instances."""
     ONE_ZONE = 8
-    """All of the job's tasks have to be in the zone of the first ones."""
+    """All tasks of the job have to be in the zone of its first tasks."""
     SCATTER = 16
-    """The zone holds as many of the job's tasks as it may."""
+    """The zone already has the maximum number of the job's tasks."""
     AVOIDED = 32
-    """Tasks of the job have failed there."""
+    """Tasks of the job have failed on the machine."""
     SIZE = 64
-    """A task is larger than the whole machine."""
+    """The task needs more than the total capacity of the machine."""
     FREE_CAPACITY = 128
-    """Other tasks use the capacity, and none of them may be evicted for it."""
+    """There is not enough free capacity, and evicting the tasks that may be evicted does not
+    help."""
     LIMIT = 256
-    """The team's limit, whatever the machine."""
+    """The task would exceed its team's limit, on any machine."""
 
 
-# Plain numbers: a plan checks some hundred thousand times a second, and flags are slow.
+# Plain integers: planning makes several hundred thousand checks per second, and operations on
+# IntFlag members are slow.
 _TYPE = int(Predicate.TYPE)
 _ZONE = int(Predicate.ZONE)
 _SPOT = int(Predicate.SPOT)
@@ -49,9 +53,9 @@
 def failed_job_predicates(
     request: Request, node: MachineSnapshot, zones: dict[str, int] | None = None
 ) -> int:
-    """The predicates of the job itself (bits of `Predicate`) that fail; 0 if none.
+    """Returns the job's own constraints that fail, as bits of `Predicate`; 0 if none do.
 
-    `zones`: the job's tasks by zone, if not those that the request states.
+    `zones`: the job's tasks by zone; by default those in the request.
     """
     if zones is None:
         zones = request.zone_counts
@@ -72,14 +76,15 @@
 def job_rules_allow(
     request: Request, node: MachineSnapshot, zones: dict[str, int] | None = None
 ) -> bool:
-    """Whether the job's own rules let one of its tasks start on the machine."""
+    """Whether the job's own constraints allow one of its tasks on the machine."""
     return not failed_job_predicates(request, node, zones)
 
 
 class PredicateCheck:
-    """All predicates for the next task of a request, in a tentative state.
+    """Checks all predicates for the next task of a request, in a tentative state.
 
-    A plan places a task on a machine exactly where none fails (tests/sched/test_diagnosis.py).
+    A plan can place a task on a machine if and only if no predicate fails there
+    (tests/sched/test_diagnosis.py).
     """
 
     def __init__(self, state: TentativeState, request: Request, zones: dict[str, int]) -> None:
@@ -90,7 +95,7 @@
         self._may_preempt = state.may_evict and may_preempt(state, request)
 
     def failed(self, node: MachineSnapshot) -> int:
-        """The predicates that fail (bits of `Predicate`); 0 if the task fits."""
+        """Returns the predicates that fail, as bits of `Predicate`; 0 if the task can be placed."""
         request = self._request
         failed = self._failed_limit | failed_job_predicates(request, node, self._zones)
         if node.index in request.avoided_machines:
--- a/badgerseam/sched/preemption.py
+++ b/badgerseam/sched/preemption.py
@@ -1,4 +1,4 @@
-"""Whom a request may evict, and what that costs (Algorithm 2 and Equation 14 of the paper)."""
+"""Selection and cost of preemption victims (Algorithm 2 and Equation 14 of the paper)."""
 
 from __future__ import annotations
 
@@ -11,50 +11,51 @@
 
 
 class PossibleEviction(NamedTuple):
-    """Victims whose eviction makes a task fit on a machine."""
+    """A set of victims whose eviction makes a task fit on a machine."""
 
     victims: list[RunningTask]
     waste: float
-    """Slot seconds lost by all of them together."""
+    """Slot-seconds of work lost by all victims together."""
 
     def cost(self, state: TentativeState) -> float:
-        """The cost by Equation 14, as the state is now."""
+        """Returns the cost of the eviction by Equation 14 in the current state."""
         return eviction_cost(state, len(self.victims), self.waste)
 
 
 def may_preempt(state: TentativeState, request: Request) -> bool:
-    """Whether a request may have any victims."""
+    """Whether a request may evict any task at all."""
     return request.high or state.others_exceed_guarantee(request)
 
 
 def may_evict(
     state: TentativeState, request: Request, victim: RunningTask, evicted: Resources
 ) -> bool:
-    """Whether a request may evict a task, after so much of the victim's team has been evicted.
+    """Whether a request may evict a task.
 
-    High and low priority are relative: a victim has a lower rank, or borrows what the request's
-    team claims of its guarantee.
+    High and low priority are relative: a victim either has a lower rank, or uses borrowed capacity
+    that the request's team claims as part of its guarantee. `evicted`: resources of the victim's
+    team that have already been chosen for eviction.
     """
     if not victim.is_evictable:
         return False
     if victim.rank < request.rank and request.high:
         return True
     if victim.team == request.team or victim.high or victim.rank > request.rank:
-        # The protocol would let borrowed capacity of any rank be claimed. The paper never evicts HP
-        # work: a replica stopped for another task waited for a minute where that one would have
-        # waited for a boot.
+        # The protocol would allow claims on borrowed capacity of any rank, but the paper never
+        # evicts high-priority (HP) work. When it was allowed, a replica stopped for another task
+        # waited a minute, whereas that task would only have waited for a machine to boot.
         return False
     if not state.within_guarantee(request):
         return False
     team = state.teams[victim.team]
-    # The other team has to exceed its guarantee up to this victim.
+    # The other team must still exceed its guarantee after the evictions chosen so far.
     return not team.used.minus(evicted).fits_in(team.guarantee)
 
 
 def victims_on(state: TentativeState, node: MachineSnapshot, request: Request) -> list[RunningTask]:
-    """The victims that make a task fit on a machine; empty if it would not fit.
+    """Returns the victims whose eviction makes a task fit on a machine; empty if there are none.
 
-    Tasks of the greatest waste are spared first.
+    Tasks with the greatest waste are spared first.
     """
     if state.eviction_groups is not None:
         allowed = partial(may_evict, state, request)
@@ -81,7 +82,7 @@
 def possible_eviction(
     state: TentativeState, node: MachineSnapshot, request: Request
 ) -> PossibleEviction | None:
-    """The eviction that makes a task fit on a machine; None if there is none."""
+    """Returns the eviction that makes a task fit on a machine, or None if there is none."""
     victims = victims_on(state, node, request)
     if not victims:
         return None
@@ -89,7 +90,8 @@
 
 
 def eviction_cost(state: TentativeState, count: int, waste: float) -> float:
-    """Equation 14: the eviction rate after so many more evictions, plus the weighted waste."""
+    """Returns the cost of Equation 14: the eviction rate after `count` more evictions, plus the
+    weighted waste."""
     evicted = state.evicted + count
     rate = evicted / (state.finished + evicted)
     return rate + state.beta * waste / (state.total_slots * state.window_s)
--- a/badgerseam/sched/pts.py
+++ b/badgerseam/sched/pts.py
@@ -1,12 +1,12 @@
-"""PTS, the preemptive task scheduler of the GFS paper: a snapshot goes in, a plan comes out.
+"""PTS, the preemptive task scheduler of the GFS paper: computes a plan from a snapshot.
 
-Non-preemptive placement ranks the fitting machines by fullness (Score 1), then by the share of the
-task's own class (Score 2), then by recent evictions (Score 3). What has high priority towards some
-running work and fits nowhere evicts the least costly victims (Algorithm 2, with the cost of
-Equation 14).
+Non-preemptive placement ranks the machines with enough free capacity by fullness (Score 1), then by
+the share of tasks of the same priority (Score 2), then by recent evictions (Score 3). A task that
+fits nowhere but has high priority relative to some running tasks evicts the victims of the least
+cost (Algorithm 2, with the cost of Equation 14).
 
-The plan is the one that a scan of all machines for each task would give: tests/sched/test_pts.py
-compares them.
+The plan is the same as that of a full scan of all machines for each task; tests/sched/test_pts.py
+compares the two.
 """
 
 from __future__ import annotations
@@ -34,13 +34,14 @@
 from badgerseam.sched.tentative_state import TentativeState
 
 MAX_LOW_RANK = 1
-"""The highest of the low ranks: what has waited for too long is not behind any of them."""
+"""The highest low-priority rank. The oldest waiting job is ordered with this rank."""
 
 
 def plan(snapshot: Snapshot, evict: bool = True) -> Plan:
-    """Place what fits, and evict where the rules of priority allow it.
+    """Plans placements, and evictions where the priority rules allow them.
 
-    Without `evict` the plan shows what fits at all, however late it would start there.
+    Without `evict` the plan contains all placements that fit without evictions, however late the
+    tasks would start.
     """
     state = TentativeState(snapshot, evict)
     placement_round = _PlacementRound(state)
@@ -54,27 +55,27 @@
 
 @dataclass(slots=True)
 class _PlacementRound:
-    """Places requests one after the other."""
+    """Places the requests of one plan in order."""
 
     state: TentativeState
-    is_gathering: bool = False
-    """Free capacity is kept for a gang that has waited for too long."""
+    keeps_capacity_for_gang: bool = False
+    """Whether free capacity is kept for an aged gang that does not fit yet."""
 
     def place(self, request: Request) -> int:
-        """Place a request; the number of its tasks that were placed."""
-        if self.is_gathering and not request.high:
-            # A gang needs all of its capacity at once, which smaller work that always fits
-            # somewhere would never leave free together.
+        """Places a request; returns the number of tasks placed."""
+        if self.keeps_capacity_for_gang and not request.high:
+            # A gang needs all of its capacity at the same time. Smaller jobs, which always fit
+            # somewhere, would keep taking capacity before enough of it is free.
             self.state.result.waiting[request.job] = request.count
             return 0
         placed = place(self.state, request)
         if request.gathers_capacity and not placed and self.state.within_limit(request):
-            self.is_gathering = True
+            self.keeps_capacity_for_gang = True
         return placed
 
 
 def placement_order(state: TentativeState, requests: list[Request]) -> list[Request]:
-    """The order in which requests are placed."""
+    """Returns the requests in the order in which they are placed."""
     return sorted(
         requests, key=lambda request: _order_key(request, state.within_guarantee(request))
     )
@@ -83,8 +84,8 @@
 def _order_key(request: Request, claims_guarantee: bool) -> tuple[float, ...]:
     return (
         -(MAX_LOW_RANK if request.oldest_waiting else request.rank),
-        # Towards a team that borrows, one that claims its guarantee is of high priority: behind the
-        # other, it would evict again and again what had just been placed.
+        # A team that claims its guarantee has high priority over teams that borrow capacity. If it
+        # were placed after them, it would repeatedly evict tasks that had just been placed.
         not claims_guarantee,
         request.priority_class,
         not request.oldest_waiting,
@@ -96,10 +97,11 @@
 
 
 def _place_by_class(placement_round: _PlacementRound, requests: list[Request]) -> None:
-    """Place requests of several priority classes.
+    """Places requests of several priority classes.
 
-    A claim goes before higher classes for as much as its team's guarantee covers when it is placed,
-    and no further: one task within it took a whole array of hundreds to the front.
+    A claim to a guarantee goes before higher classes only for the tasks that the guarantee covers
+    at the time of placement. Without this bound, a single covered task moved a whole array of
+    hundreds of tasks to the front.
     """
     state = placement_round.state
     queue = [
@@ -118,7 +120,11 @@
 
 
 def _place_claim(placement_round: _PlacementRound, request: Request) -> Request | None:
-    """Place as much of a request as its team's guarantee covers; what is left for its class."""
+    """Places the part of a request that its team's guarantee covers.
+
+    Returns a request for the remaining tasks, to be placed by class; None if there is nothing left
+    to place.
+    """
     state = placement_round.state
     count = _count_within_guarantee(state, request)
     if count <= 0:
@@ -138,14 +144,16 @@
 
 
 def _count_within_guarantee(state: TentativeState, request: Request) -> int:
-    """How many tasks of a request its team's guarantee covers now; of a gang all or none."""
+    """Returns how many tasks of a request its team's guarantee covers now; all or none of a
+    gang."""
     team = state.teams[request.team]
     count = min(request.count, request.demand.count_in(team.guarantee.minus(team.used)))
     return request.count if request.gang and count > 0 else count
 
 
 def place(state: TentativeState, request: Request, on_unplaced: OnUnplaced | None = None) -> int:
-    """Place as many tasks of a request as fit, of a gang all or none; the number placed."""
+    """Places as many tasks of a request as fit, all or none of a gang; returns the number
+    placed."""
     if request.gang_rules is not None:
         return gang_placement.place(state, request, on_unplaced)
     placed = _place_tasks(state, request, on_unplaced)
@@ -167,7 +175,8 @@
     if on_unplaced is not None and placed < request.count:
         on_unplaced(placement.zones, placed)
     if request.gang and placed < request.count:
-        # All pods are planned before any stop; one that fails leaves everything as it was.
+        # All pods of a gang are planned before any eviction takes effect: if one does not fit,
+        # everything is rolled back.
         placement.undo()
         return 0
     placement.commit()
@@ -178,7 +187,7 @@
 
 
 def _place_one_by_one(state: TentativeState, request: Request, placement: RequestPlacement) -> None:
-    """Place tasks until one does not fit, or would exceed the team's limit."""
+    """Places tasks until one does not fit or would exceed its team's limit."""
     candidates = Candidates(state, request, placement.zones)
     while len(placement.tasks) < request.count and state.within_limit(request):
         task = candidates.choose()
--- a/badgerseam/sched/snapshot.py
+++ b/badgerseam/sched/snapshot.py
@@ -1,8 +1,8 @@
-"""Input and output of the preemptive task scheduler (PTS): plain data without behaviour.
+"""Input and output types of the preemptive task scheduler (PTS): plain data without behaviour.
 
-Units: amounts are `Resources`, durations end in `_s` (seconds), times are monotonic seconds unless
-stated otherwise. Machines and jobs are named by their index in the model, teams by theirs in the
-settings.
+Units: amounts are `Resources`, names of durations end in `_s` (seconds), and times are monotonic
+seconds unless stated otherwise. Machines and jobs are identified by their index in the model, teams
+by their index in the settings.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class RunningTask:
-    """A task on a machine, which may become a victim of preemption."""
+    """A task on a machine, which may be chosen as a preemption victim."""
 
     key: tuple[int, int]
     """Job and task number."""
@@ -24,21 +24,23 @@
     rank: int
     team: int
     running_since: float | None
-    """When it was first seen to run; None if it has not been yet."""
+    """When the task was first seen running; None if it has not been yet."""
     checkpoint_s: float
     is_evictable: bool
     high: bool = False
-    """Of high priority (HP): never evicted for work of the same or a lower rank."""
+    """Whether the task has high priority (HP): it is never evicted for tasks of the same or a lower
+    rank."""
     ends_at: float = math.inf
-    """When it should end by its team's estimate."""
+    """When the task should end by its team's estimate."""
     is_service: bool = False
     placed_at: float = 0.0
     group: tuple[int, int] | None = None
-    """Job and number of the replica that it is a member of, which is evicted as a whole; None if it
-    is evicted alone."""
+    """Job index and number of the replica that the task is a member of, which is evicted as a
+    whole; None if the task can be evicted alone."""
 
     def waste(self, now: float) -> float:
-        """Slot seconds lost by an eviction: since the last checkpoint by the declared interval."""
+        """Slot-seconds of work lost by an eviction, since the last checkpoint if the job writes
+        any."""
         if self.running_since is None:
             return 0.0
         lost_s = now - self.running_since
@@ -58,18 +60,18 @@
     total: Resources
     free: Resources
     high_slots: float
-    """Slots of high-priority work."""
+    """Slots used by high-priority tasks."""
     low_slots: float
-    """Slots of low-priority work."""
+    """Slots used by low-priority tasks."""
     evictions: int
-    """Evictions within the window."""
+    """Number of evictions from the machine within the last `Snapshot.window_s` seconds."""
     images: set[str]
-    """Images that need not be fetched."""
+    """Images that the machine already has."""
     running: list[RunningTask] = field(default_factory=list)
     fetch_gb_per_s: float = 1.0
 
     def copy(self) -> MachineSnapshot:
-        """A copy that a plan may change."""
+        """Returns a copy that a plan may change."""
         return MachineSnapshot(
             self.index,
             self.type,
@@ -87,17 +89,17 @@
 
     @property
     def slots(self) -> float:
-        """The machine's size in the paper's slots."""
+        """The machine's size in slots, as the paper defines them."""
         return self.total.gpus or self.total.cpus
 
     @property
     def idle_slots(self) -> float:
-        """Free slots."""
+        """The number of free slots."""
         return self.free.gpus if self.total.gpus else self.free.cpus
 
 
 class StayingMember(NamedTuple):
-    """A task of a replica that stays on its machine."""
+    """A running task of a replica that stays on its machine."""
 
     machine: int
     zone: str
@@ -106,77 +108,83 @@
 
 @dataclass(frozen=True, slots=True)
 class GangRules:
-    """Rules of a replica that spans machines, for those of its tasks that need capacity."""
+    """Placement rules of a replica that spans machines, for its tasks that need capacity."""
 
     number: int
     """The replica's number in its job."""
     size: int
-    """Tasks of the whole replica."""
+    """Number of tasks of the whole replica."""
     min_machines: int = 1
-    """Fewest machines that the whole replica spans."""
+    """Fewest machines that the whole replica may span."""
     max_machines: int | None = None
-    """Most machines that the whole replica spans; None if there is no bound."""
+    """Most machines that the whole replica may span; None if there is no bound."""
     same_zone: bool = True
     same_type: bool = False
     staying_members: tuple[StayingMember, ...] = ()
+    """Running members of the replica, whose machines constrain the placement of the others."""
     reserved_machines: tuple[int, ...] = ()
-    """Machines with capacity reserved for the replica, once for each task."""
+    """Machines with capacity reserved for the replica, one entry per task."""
     reserve_only: bool = False
-    """The tasks run: new capacity is only reserved, and nothing more is used meanwhile."""
+    """Whether capacity is only reserved: the tasks still run, so no additional quota is used."""
     may_move_whole: bool = False
-    """The whole replica may be moved where there is no capacity beside the members that stay."""
+    """Whether the whole replica may be moved if the missing tasks cannot be placed with the members
+    that stay, or would be ready later there."""
     zone: str | None = None
-    """Where machines are rented for it, if its job's rules leave it only some zones."""
+    """Zone in which machines are rented for the replica, if its job is constrained to some
+    zones."""
     stop_s: float = 0.0
-    """How long the stop of a member takes."""
+    """Seconds that it takes to stop a member."""
 
 
 @dataclass(slots=True)
 class Request:
-    """Tasks of one job that wait to be placed. They are alike: each is one pod of the paper."""
+    """Identical tasks of one job that wait to be placed. Each is a pod in the paper's terms."""
 
     job: int
     count: int
     demand: Resources
     rank: int
     high: bool
-    """Of high priority (HP): may evict work of lower ranks."""
+    """Whether the request has high priority (HP): it may evict tasks of lower ranks."""
     team: int
     types: frozenset[str] | None
     zone: str | None
     one_zone: bool
     zone_limit: int | None
-    """Most tasks of the job that may be in one zone."""
+    """Most tasks of the job that may run in one zone; None if there is no bound."""
     spot: bool
-    """Its tasks may run on spot instances."""
+    """Whether the tasks may run on spot instances."""
     image: str
     zone_counts: dict[str, int]
-    """Tasks of the job by zone, those that may still run there included."""
+    """Number of the job's tasks by zone, including those that may still be running there."""
     avoided_machines: set[int]
     order: float
-    """The lowest goes first within a rank."""
+    """Sort key within a rank, lowest first."""
     gang: bool = False
-    """All of its tasks are placed, or none."""
+    """Whether the tasks are placed all or none."""
     wait_s: float | None = None
-    """How soon the operator wants its tasks started."""
+    """Seconds within which the tasks should start by the operator's objectives; None if there are
+    none."""
     image_gb: float = 0.0
     priority_class: int = 0
-    """The first one is 0: the lowest goes first within a rank, behind claims to guarantees."""
+    """Number of the priority class, 0 for the most urgent. Lower classes go first within a rank,
+    after claims to guarantees."""
     queue_position: int = 0
-    """Given when the job was accepted: decides between requests that are equal otherwise."""
+    """Assigned when the job was accepted: the tie-break between otherwise equal requests."""
     oldest_waiting: bool = False
-    """It has waited for so long that it goes before other low-priority work, whatever its rank."""
+    """Whether this is the oldest aged job of its shard, which goes before all other low-priority
+    work whatever its rank."""
     gang_rules: GangRules | None = None
-    """Its tasks are those of one replica that need capacity: all are placed, or none."""
+    """Set if the tasks belong to one replica that spans machines; they are placed all or none."""
 
     @property
     def gathers_capacity(self) -> bool:
-        """Whether capacity that frees is kept for it until all of its tasks fit."""
+        """Whether freed capacity is kept for this request until all of its tasks fit."""
         return self.oldest_waiting and self.gang
 
     @property
     def is_plain(self) -> bool:
-        """Whether nothing but its demand and its rank decides where it may go."""
+        """Whether the request has no placement constraints except its demand and rank."""
         return (
             self.types is None
             and self.zone is None
@@ -191,45 +199,46 @@
     """Usage and quota of a team."""
 
     used: Resources
-    """What its tasks use once the victims of this plan have ended."""
+    """Resources that the team's tasks use once the victims of this plan have ended."""
     guarantee: Resources
     limit: Resources
     draining: Resources = NOTHING
-    """What the victims of this plan use until they have ended: a limit holds for what is on
-    machines, and a victim may write a checkpoint, hang, or be unreachable for a whole lease."""
+    """Resources used by the victims of this plan until they have ended. A limit applies to
+    everything on machines, and a victim may still write a checkpoint, hang, or be unreachable for
+    the duration of a lease."""
 
     def allows(self, demand: Resources) -> bool:
-        """Whether the team stays within its limit with so much more."""
+        """Whether the team stays within its limit with an additional demand."""
         return self.used.plus(self.draining).plus(demand).fits_in(self.limit)
 
     def headroom(self) -> Resources:
-        """What the team may still use within its limit."""
+        """Returns the resources that the team may still use within its limit."""
         return self.limit.minus(self.used).minus(self.draining)
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """The state of a shard that a plan starts from. Planning does not change it."""
+    """The state of a shard from which a plan is computed. Planning does not modify it."""
 
     nodes: list[MachineSnapshot]
     requests: list[Request]
     teams: dict[int, TeamUse]
     finished: int
-    """Tasks of the shard that have finished, for the eviction rate of Equation 14."""
+    """Number of finished tasks of the shard, for the eviction rate of Equation 14."""
     evicted: int
-    """Tasks of the shard that have been evicted."""
+    """Number of evicted tasks of the shard."""
     beta: float
     """Weight of the waste in the cost of an eviction."""
     window_s: float
-    """Window over which the waste is normalised."""
+    """Seconds over which the waste is normalised and recent evictions are counted."""
     now: float = 0.0
     has_gangs: bool = False
-    """Some running tasks belong to replicas that span machines."""
+    """Whether any running tasks belong to replicas that span machines."""
 
 
 @dataclass(slots=True)
 class TaskStart:
-    """A task of a job is placed on a machine."""
+    """Placement of a task of a job on a machine."""
 
     job: int
     node: int
@@ -237,46 +246,47 @@
 
 @dataclass(slots=True)
 class GangStart:
-    """A replica's tasks, or those of them that need capacity, placed together."""
+    """Joint placement of all tasks of a replica, or of those that need capacity."""
 
     job: int
     number: int
     nodes: list[int]
-    """The machine of each task."""
+    """Index of the machine for each task."""
     reserve_only: bool = False
-    """Capacity is reserved, and no task is started yet."""
+    """Whether capacity is only reserved and no task is started yet."""
     moves_whole: bool = False
-    """All of its tasks while some of them run: capacity is reserved, and they are moved."""
+    """Whether the whole replica, some of whose tasks run, is moved: capacity is reserved for all
+    tasks first."""
 
 
 @dataclass(slots=True)
 class TaskStop:
-    """A running task is evicted."""
+    """Eviction of a running task."""
 
     key: tuple[int, int]
     """Job and task number of the victim."""
     cost: float
-    """Of all victims for one placement together (Equation 14)."""
+    """Cost of evicting all victims of the placement together (Equation 14)."""
     wait_s: float | None
-    """How soon the preempting work should start."""
+    """Seconds within which the preempting task should start; None if there is no objective."""
     preempted_by: int = -1
-    """The preempting job."""
+    """Index of the preempting job."""
 
 
 @dataclass(slots=True)
 class Plan:
-    """What is to be started and stopped, and the machines and teams as they are then."""
+    """The tasks to start and to stop, and the resulting state of machines and teams."""
 
     starts: list[TaskStart] = field(default_factory=list)
     stops: list[TaskStop] = field(default_factory=list)
     gang_starts: list[GangStart] = field(default_factory=list)
     waiting: dict[int, int] = field(default_factory=dict)
-    """Unplaced tasks by job, without those that exceed their team's limit."""
+    """Number of unplaced tasks by job, without tasks that exceed their team's limit."""
     nodes: list[MachineSnapshot] = field(default_factory=list)
-    """The snapshot's machines, in its order, as they are after the plan."""
+    """The machines after the plan, in the order of the snapshot."""
     teams: dict[int, TeamUse] = field(default_factory=dict)
 
 
 def slots_of(demand: Resources) -> float:
-    """The paper's slots of a task: its accelerators if it uses any, else its processors."""
+    """Returns the size of a task in the paper's slots: its GPUs if it uses any, else its CPUs."""
     return demand.gpus or demand.cpus
--- a/badgerseam/sched/tentative_state.py
+++ b/badgerseam/sched/tentative_state.py
@@ -1,4 +1,4 @@
-"""The machines and teams of a shard as a plan changes them."""
+"""The working state of a plan: the machines and teams with its tentative changes."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 
 class TentativeState:
-    """The machines and teams as a plan changes them; the snapshot's own are left alone.
+    """The machines and teams of a snapshot with the tentative changes of a plan.
 
-    Machines are addressed by their position in the snapshot.
+    Machines are copied before the first change, so the snapshot is not modified. They are addressed
+    by their position in the snapshot.
     """
 
     def __init__(self, snapshot: Snapshot, may_evict: bool) -> None:
@@ -42,24 +43,24 @@
             for position, node in enumerate(self.nodes)
             if self._min_demand.fits_in(node.free)
         }
-        """Positions of the machines on which the smallest request may fit, in order."""
+        """Positions of the machines on which the smallest demand may fit, in insertion order."""
         self.unplaced: list[Request] = []
-        """Requests that could not be placed: one of the same kind and no less demand cannot be
-        placed either."""
+        """Requests that could not be placed. An equivalent request with at least the same demand
+        cannot be placed either."""
         self.changes = 0
-        """Counts changes of machines; between two equal counts nothing has changed."""
+        """Number of changes of machines so far; equal values mean that no machine has changed."""
         self.eviction_groups = EvictionGroups(self.nodes) if snapshot.has_gangs else None
-        """Replicas that span machines; None if there are none."""
+        """The replicas that span machines; None if there are none."""
 
     def mutable_node(self, position: int) -> MachineSnapshot:
-        """A machine that may be changed: a copy of the snapshot's own."""
+        """Returns a machine that may be modified: a copy of the one in the snapshot."""
         if position not in self._copied:
             self._copied.add(position)
             self.nodes[position] = self.nodes[position].copy()
         return self.nodes[position]
 
     def on_capacity_changed(self, position: int) -> None:
-        """Note that the free capacity of a machine has changed."""
+        """Updates the indices after a change of a machine's free capacity."""
         self.changes += 1
         if self._min_demand.fits_in(self.nodes[position].free):
             if position not in self.with_free_capacity:
@@ -70,23 +71,24 @@
     # ---- teams ----
 
     def within_limit(self, request: Request) -> bool:
-        """Whether a task of the request is within its team's limit."""
+        """Whether one more task of the request is within its team's limit."""
         return self.teams[request.team].allows(request.demand)
 
     def within_guarantee(self, request: Request) -> bool:
-        """Whether a task of the request is within its team's guarantee."""
+        """Whether one more task of the request is within its team's guarantee."""
         team = self.teams[request.team]
         return team.used.plus(request.demand).fits_in(team.guarantee)
 
     def others_exceed_guarantee(self, request: Request) -> bool:
-        """Whether another team borrows capacity that the request's team may claim."""
+        """Whether another team uses capacity beyond its guarantee that the request's team may
+        claim."""
         return self.within_guarantee(request) and any(
             index != request.team and not team.used.fits_in(team.guarantee)
             for index, team in self.teams.items()
         )
 
     def is_known_unplaceable(self, request: Request) -> bool:
-        """Whether a request of this kind, with no more demand, could not be placed."""
+        """Whether an equivalent request with at most this demand could not be placed before."""
         return any(
             other.demand.fits_in(request.demand)
             and other.rank >= request.rank
@@ -99,22 +101,23 @@
     # ---- tentative changes ----
 
     def position_of(self, victim: RunningTask, position: int) -> int:
-        """The position of a victim's machine, if it is evicted for a task at `position`.
+        """Returns the position of the machine of a victim that is evicted for a task at `position`.
 
-        That is the same machine, unless the victim is a member of a replica.
+        That is the same machine unless the victim is a member of a replica.
         """
         if victim.group is None or self.eviction_groups is None:
             return position
         return self.eviction_groups.position_of(victim)
 
     def evict(self, position: int, victim: RunningTask) -> None:
-        """Evict a task from its machine, tentatively."""
+        """Tentatively evicts a task from its machine."""
         node = self.mutable_node(position)
         team = self.teams[victim.team]
         node.running.remove(victim)
         node.free = node.free.plus(victim.demand)
         team.used = team.used.minus(victim.demand)
-        # Only its guarantee counts as given back: the victim is on its machine until it has ended.
+        # The victim no longer counts against the guarantee, but it still counts against the limit,
+        # because it is on its machine until it has ended.
         team.draining = team.draining.plus(victim.demand)
         node.low_slots -= slots_of(victim.demand)
         node.evictions += 1
@@ -122,7 +125,7 @@
         self.on_capacity_changed(position)
 
     def undo_eviction(self, position: int, victim: RunningTask) -> None:
-        """Put a victim back on its machine."""
+        """Undoes a tentative eviction."""
         node = self.mutable_node(position)
         team = self.teams[victim.team]
         node.running.append(victim)
@@ -135,7 +138,7 @@
         self.on_capacity_changed(position)
 
     def place(self, position: int, request: Request, zones: dict[str, int]) -> None:
-        """Place a task of the request on a machine, tentatively, and count it in `zones`."""
+        """Tentatively places a task of the request on a machine, and counts it in `zones`."""
         node = self.mutable_node(position)
         node.free = node.free.minus(request.demand)
         _add_slots(node, request, slots_of(request.demand))
@@ -143,7 +146,7 @@
         self.on_capacity_changed(position)
 
     def undo_placement(self, position: int, request: Request, zones: dict[str, int]) -> None:
-        """Take a task of the request off a machine again."""
+        """Undoes a tentative placement of a task of the request."""
         node = self.mutable_node(position)
         node.free = node.free.plus(request.demand)
         _add_slots(node, request, -slots_of(request.demand))
