--- a/badgerseam/model/__init__.py
+++ b/badgerseam/model/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs, tasks and machines on dense indices."""
+"""In-memory model of the shared state: jobs, tasks and machines, addressed by dense indices."""
--- a/badgerseam/model/accounts.py
+++ b/badgerseam/model/accounts.py
@@ -1,4 +1,4 @@
-"""The interface through which the model reports jobs and attempts to the accounting."""
+"""Interface through which the model reports jobs and attempts to the accounting."""
 
 from __future__ import annotations
 
@@ -12,41 +12,41 @@
 
 @dataclass(slots=True)
 class UnsummarizedJob:
-    """A cancelled job without a summary."""
+    """A cancelled job whose final record has no usage summary yet."""
 
     stored: StoredJob
     version: int
     shard: int | None
     usage: Usage | None = None
-    """Measured by this controller."""
+    """Usage measured by this controller."""
 
 
 class JobAccounting(Protocol):
-    """Called by the model at each change of a job, with the model's lock held."""
+    """Receives each change of a job from the model, with the model's lock held."""
 
     loading: bool
-    """A shard is being reloaded: what is placed and unplaced then is no new event."""
+    """Whether a shard is being reloaded; attempts placed or removed then are not new events."""
 
     def on_final_record(self, job_id: str, stored: StoredJob, version: int) -> None:
-        """A job's final record, from the replica or written here."""
+        """Called with a job's final record, read from the replica or written by this controller."""
 
     def next_unsummarized(self) -> list[tuple[str, UnsummarizedJob]]:
-        """Cancelled jobs of owned shards that have left all machines, a few of them."""
+        """Returns some cancelled jobs of owned shards that have no attempts on machines left."""
 
     def summarized_record(self, entry: UnsummarizedJob) -> StoredJob:
-        """The final record of a cancelled job with its summary, without its description."""
+        """Returns a cancelled job's final record with its summary, without its description."""
 
     def on_job_opened(self, job: Job) -> None:
-        """A job has become known, or its shard was reloaded."""
+        """Called when a job was added to the model or its shard was reloaded."""
 
     def on_attempt_placed(self, attempt: Attempt) -> None:
-        """An attempt has become durable."""
+        """Called when an attempt has become durable."""
 
     def on_attempt_ended(self, attempt: Attempt, done: bool) -> None:
-        """An attempt is over."""
+        """Called when an attempt has ended."""
 
     def usage(self, job: Job) -> Usage | None:
-        """The summary of a job that is done."""
+        """Returns the usage summary of a completed job."""
 
     def on_job_settled(self, job: Job) -> None:
-        """A cancelled job has left all machines."""
+        """Called when a cancelled job has no attempts on machines any more."""
--- a/badgerseam/model/task_pages.py
+++ b/badgerseam/model/task_pages.py
@@ -1,4 +1,4 @@
-"""Applying pages of the task logs: which tasks are done, and which are placed where."""
+"""Applies pages of the task logs, which record finished tasks and the placements of others."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from badgerseam.wire import state as wire
 
 START_UNITS_PER_S = 10
-"""Rows store the start of an attempt in tenths of a second after the job's acceptance."""
+"""Resolution of the stored start of an attempt: tenths of a second after the job's acceptance."""
 
 
 def apply_page(
     model: Placements, shard: int, number: int, value: msgspec.Raw | None, version: int
 ) -> None:
-    """Apply a change of a page; None is a removal."""
+    """Applies a change of a page; None is a removal."""
     if shard >= len(model.shards):
         return
     entries = [] if value is None else wire.page_decoder.decode(value)
@@ -25,11 +25,11 @@
     if value is not None:
         model.pages[shard][number] = page
     if model.shards[shard].owned:
-        # The owner acts on what it wrote itself.
+        # The owner has already applied the changes that it writes.
         return
     known = {} if before is None else before.jobs
     for entry in entries:
-        # A page is written whole, mostly with what it contained before.
+        # Pages are written as a whole, and most entries are unchanged.
         job = None if known.get(entry.job) == entry else model.job(entry.job)
         if job is not None:
             apply_job_rows(model, job, entry, number)
@@ -38,8 +38,11 @@
 
 
 def apply_job_rows(model: Placements, job: Job, entry: wire.JobRows, page: int) -> None:
-    """Apply what a page contains of a job. Pages are read in any order: a task's latest attempt
-    counts, and what is done stays so."""
+    """Applies the entry of a job in a page.
+
+    Pages are read in any order: the latest attempt of a task takes precedence, and a finished task
+    stays finished.
+    """
     for chunk, bits in entry.done:
         new_bits = int(bits, 16) & ~job.done_bits.get(chunk, 0)
         if new_bits:
@@ -53,7 +56,8 @@
 
 
 def _unplace_removed_rows(model: Placements, before: Page, after: Page) -> None:
-    """Tasks of cancelled jobs that the owner no longer lists are certainly gone."""
+    """Removes attempts of cancelled jobs that the owner no longer lists: they have certainly
+    ended."""
     for name, entry in before.jobs.items():
         job = model.job(name)
         if job is None or job.phase == Phase.OPEN:
@@ -67,7 +71,7 @@
 
 
 def _apply_done_bits(model: Placements, job: Job, chunk: int, bits: int) -> None:
-    """Mark the tasks of a chunk as finished whose bits are set."""
+    """Marks the tasks of a chunk whose bits are set as finished."""
     while bits:
         lowest = bits & -bits
         bits ^= lowest
@@ -84,7 +88,7 @@
 
 
 def _apply_row(model: Placements, job: Job, row: wire.TaskRow, start: int | None) -> None:
-    """Apply a task's row; `start`: when its attempt began to run, if the page says so."""
+    """Applies the row of a task; `start`: when its attempt started to run, if the page has it."""
     task = row.task
     if task >= job.tasks or job.status[task] == FINISHED:
         return
@@ -104,14 +108,17 @@
         machine = model.machines[machine_index]
         placed = model.place(job, task, row.attempt, machine, Stage.PLACED)
         placed.inherited = placed.unseen = True
-        # An earlier owner may have launched it.
+        # An earlier owner may have launched the attempt.
         job.on_launch_sent(placed)
         _set_start(model, placed, start)
 
 
 def _machine_index(model: Placements, job: Job, row: wire.TaskRow) -> int | None:
-    """Index of a row's machine, unless it has been moved to another shard since, which happens
-    only with nothing on it."""
+    """Returns the index of a row's machine, or None if there is none any more.
+
+    A machine that has been moved to another shard since does not count, because machines are only
+    moved when they are empty.
+    """
     index = None if row.machine is None else model.machine_index.get(row.machine)
     if index is not None and model.machines[index].shard != job.shard:
         return None
@@ -119,7 +126,7 @@
 
 
 def _set_start(model: Placements, attempt: Attempt, start: int | None) -> None:
-    """Set when an attempt of another owner began to run, if its row says so."""
+    """Sets the start time of an attempt of another owner, if it was recorded."""
     if start is not None:
         ran_s = model.clock.wall() - (attempt.job.submitted + start / START_UNITS_PER_S)
         attempt.started_at = model.clock.now() - max(0.0, ran_s)
