--- a/badgerseam/model/job.py
+++ b/badgerseam/model/job.py
@@ -228,7 +228,7 @@
 
     @property
     def is_gang(self) -> bool:
-        """Whether the tasks run only together."""
+        """Whether the tasks have to run at the same time (gang scheduling)."""
         return self.spec.kind == "group"
 
     def reset(self) -> None:
--- a/badgerseam/model/machine.py
+++ b/badgerseam/model/machine.py
@@ -213,10 +213,10 @@
     def settles_commands(self, token: int, incarnation: int) -> bool:
         """Whether a worker that reports these can no longer execute any earlier direct command.
 
-        A worker refuses commands to an earlier incarnation whatever their token. Without this rule,
-        no conclusion could ever be drawn from the heartbeats of a machine that no new token
-        reaches. The incarnations that earlier owners have seen are not known, so their commands
-        are only settled by a token of the current owner.
+        A worker refuses commands to an earlier incarnation regardless of their token. Without this
+        rule, no conclusion could ever be drawn from the heartbeats of a machine that no new token
+        reaches. The incarnations that earlier owners have seen are not known, so their commands are
+        only settled by a token of the current owner.
         """
         if token > self.highest_unsettled_token:
             return True
--- a/badgerseam/model/placements.py
+++ b/badgerseam/model/placements.py
@@ -24,7 +24,8 @@
         job.attach(attempt)
         job.tries[task] = number
         job.status[task] = PLACED
-        # Every controller sees placements, so that a new owner knows where images are.
+        # Every controller applies placements, so a new owner already knows which machines have
+        # which images.
         machine.images.add(job.spec.image)
         return attempt
 
--- a/badgerseam/sched/diagnosis.py
+++ b/badgerseam/sched/diagnosis.py
@@ -39,7 +39,7 @@
     machines: int = 0
     counts: dict[Predicate, int] = field(default_factory=dict)
     """Number of machines on which each predicate fails, alone or with others."""
-    alone: dict[Predicate, int] = field(default_factory=dict)
+    only_failing: dict[Predicate, int] = field(default_factory=dict)
     """Number of machines on which each predicate is the only one that fails."""
     binding: Predicate = NO_PREDICATE
     """The smallest set of predicates whose removal would let a task be placed; among equally small
@@ -231,8 +231,8 @@
         for predicate in predicates:
             result.counts[predicate] = result.counts.get(predicate, 0) + count
         if len(predicates) == 1:
-            alone = predicates[0]
-            result.alone[alone] = result.alone.get(alone, 0) + count
+            sole = predicates[0]
+            result.only_failing[sole] = result.only_failing.get(sole, 0) + count
 
 
 def _holders(nodes: list[MachineSnapshot]) -> list[CapacityHolder]:
--- a/badgerseam/sched/pts.py
+++ b/badgerseam/sched/pts.py
@@ -34,7 +34,8 @@
 from badgerseam.sched.tentative_state import TentativeState
 
 MAX_LOW_RANK = 1
-"""The highest low-priority rank. The oldest waiting job is ordered with this rank."""
+"""The highest low-priority rank. The oldest waiting job is ordered with this rank, so that no other
+low-priority job goes before it because of its rank."""
 
 
 def plan(snapshot: Snapshot, evict: bool = True) -> Plan:
@@ -192,7 +193,7 @@
     while len(placement.tasks) < request.count and state.within_limit(request):
         task = candidates.choose()
         if task is None:
-            if request.is_plain and not request.gang:
+            if request.is_unconstrained and not request.gang:
                 state.unplaced.append(request)
             return
         placement.add(task)
--- a/badgerseam/sched/scoring.py
+++ b/badgerseam/sched/scoring.py
@@ -5,7 +5,7 @@
 from badgerseam.sched.snapshot import MachineSnapshot, Request
 
 FETCH_FACTORS = (1.5, 1.0)
-"""Factors on the stated duration of an image fetch: an upper bound, and the expected value."""
+"""Factors on the stated duration of an image fetch: the upper bound, and the expected duration."""
 GRADES = len(FETCH_FACTORS) + 1
 """Number of values of `start_grade`."""
 START_S = 0.3
--- a/badgerseam/sched/snapshot.py
+++ b/badgerseam/sched/snapshot.py
@@ -39,8 +39,8 @@
     whole; None if the task can be evicted alone."""
 
     def waste(self, now: float) -> float:
-        """Slot-seconds of work lost by an eviction, since the last checkpoint if the job writes
-        any."""
+        """Slot-seconds of work lost by an eviction: the time since the last checkpoint, assuming
+        checkpoints at the declared interval."""
         if self.running_since is None:
             return 0.0
         lost_s = now - self.running_since
@@ -173,7 +173,7 @@
     """Assigned when the job was accepted: the tie-break between otherwise equal requests."""
     oldest_waiting: bool = False
     """Whether this is the oldest aged job of its shard, which goes before all other low-priority
-    work whatever its rank."""
+    work regardless of its rank."""
     gang_rules: GangRules | None = None
     """Set if the tasks belong to one replica that spans machines; they are placed all or none."""
 
@@ -183,7 +183,7 @@
         return self.oldest_waiting and self.gang
 
     @property
-    def is_plain(self) -> bool:
+    def is_unconstrained(self) -> bool:
         """Whether the request has no placement constraints except its demand and rank."""
         return (
             self.types is None
