--- a/badgerseam/workers/command_queue.py
+++ b/badgerseam/workers/command_queue.py
@@ -91,7 +91,7 @@
 
     def _launches(self, machine: Machine, direct: bool) -> list[wire.Command]:
         """Returns the launches that fit the machine and their teams' limits, most urgent first."""
-        if machine.mute_incarnation:
+        if machine.incarnation_without_heartbeats:
             # No heartbeats arrive to renew the lease, so a launched task would be killed when the
             # lease ends and would have to be launched again.
             return []
--- a/badgerseam/workers/heartbeat_responder.py
+++ b/badgerseam/workers/heartbeat_responder.py
@@ -83,7 +83,7 @@
         """Applies a heartbeat, renews the lease and answers with the pending commands."""
         now = self._clock.now()
         self._command_acks.on_heartbeat(machine, heartbeat, now)
-        machine.mute_incarnation = 0
+        machine.incarnation_without_heartbeats = 0
         # A worker sends one heartbeat at a time, so a newer one shows that the commands in the
         # previous response were either executed or dropped.
         machine.response_open = False
--- a/badgerseam/workers/heartbeats.py
+++ b/badgerseam/workers/heartbeats.py
@@ -141,7 +141,11 @@
             attempt.stage = Stage.PLACED
             machine.sched_view = None
             attempt.job.mark_changed(attempt.task)
-        is_unfit = machine.draining or machine.is_probably_unreachable or machine.mute_incarnation
+        is_unfit = (
+            machine.draining
+            or machine.is_probably_unreachable
+            or machine.incarnation_without_heartbeats
+        )
         if attempt.stopping or is_unfit:
             # If the attempt stayed here, each response would carry its launch again, and the launch
             # would be undone each time, without end.
