--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -153,7 +153,7 @@
         self._clear_suspicion(name, peer)
         self._recognize_process(name, peer, update.process)
         peer.number = update.number
-        peer.next_probe_at = self._clock.now() + (0.0 if update.holds_claims else HOLD_S)
+        peer.next_probe_at = self._clock.now() + (0.0 if update.is_held_open else HOLD_S)
         self._on_update(name, update)
 
     def _recognize_process(self, name: str, peer: PeerState, process: str) -> None:
--- a/badgerseam/standby/soft_state.py
+++ b/badgerseam/standby/soft_state.py
@@ -91,11 +91,11 @@
         self._subscribers: dict[str, _Subscriber] = {}
 
     def build_update(
-        self, follow: wire.FollowRequest, holds_claims: bool, leader_term: int
+        self, follow: wire.FollowRequest, is_held_open: bool, leader_term: int
     ) -> wire.SoftStateUpdate:
         """What has changed for a subscriber; called with the model's lock held.
 
-        `holds_claims`: as the update says; `leader_term`: the version of our claim on the
+        `is_held_open`: as the update says; `leader_term`: the version of our claim on the
         leadership, or 0.
         """
         subscriber = self._subscribers.get(follow.node)
@@ -110,7 +110,7 @@
         shards = self._changed_shards(subscriber) if self._max_bytes else []
         blocked = self._blocked_hints() if leader_term else []
         return wire.SoftStateUpdate(
-            self._process, subscriber.number, holds_claims, shards, leader_term, blocked
+            self._process, subscriber.number, is_held_open, shards, leader_term, blocked
         )
 
     def is_caught_up(self, node: str) -> bool:
--- a/badgerseam/wire/standby.py
+++ b/badgerseam/wire/standby.py
@@ -51,7 +51,7 @@
     pause_s: float
 
 
-class SoftStateUpdate(Struct, frozen=True, rename={"holds_claims": "held", "shards": "shares"}):
+class SoftStateUpdate(Struct, frozen=True, rename={"is_held_open": "held", "shards": "shares"}):
     """The answer to a request to follow."""
 
     process: str
@@ -59,7 +59,7 @@
     needlessly, from one that was started anew."""
     number: int = 0
     """Rises by one with each answer to the same requester."""
-    holds_claims: bool = True
+    is_held_open: bool = True
     """`held` on the wire: whether the answer was delayed; if not, the next request has to wait for
     a while."""
     shards: list[ShardHint] = field(default_factory=list)
