--- a/badgerseam/cluster/claims.py
+++ b/badgerseam/cluster/claims.py
@@ -166,4 +166,4 @@
                 log.debug("claim not removed key=%s term=%d", key, version)
             if not self._registration.unavailable_reasons:
                 return
-            await self._state.pause(1)
+            await self._state.back_off(1)
--- a/badgerseam/cluster/membership.py
+++ b/badgerseam/cluster/membership.py
@@ -144,7 +144,7 @@
             except StateUnavailableError as error:
                 failures += 1
                 log.debug("lease renewal failed error=%s", error)
-                await self._state.pause(min(failures, MAX_RENEWAL_PAUSES))
+                await self._state.back_off(min(failures, MAX_RENEWAL_PAUSES))
                 continue
             if not self.registration.is_written:
                 await self.registration.write()
--- a/badgerseam/store/client.py
+++ b/badgerseam/store/client.py
@@ -231,7 +231,7 @@
             raise RevisionCompactedError(str(revision))
         return _decode(wire.changes_decoder, status, body)
 
-    async def pause(self, failures: int) -> None:
+    async def back_off(self, failures: int) -> None:
         """Back off after that many failures in a row."""
         backoff_s = MIN_BACKOFF_S * 2 ** min(failures, MAX_BACKOFF_DOUBLINGS)
         jitter = 0.5 + self._random.random()
--- a/badgerseam/store/machine_records.py
+++ b/badgerseam/store/machine_records.py
@@ -246,7 +246,7 @@
                 entry = await self._state.get(key)
             except StateUnavailableError:
                 failures += 1
-                await self._state.pause(failures)
+                await self._state.back_off(failures)
                 continue
             if entry is not None:
                 with self._model.lock:
--- a/badgerseam/store/state_watcher.py
+++ b/badgerseam/store/state_watcher.py
@@ -75,7 +75,7 @@
             except StateUnavailableError as error:
                 self._failures += 1
                 log.debug("watch failed failures=%d error=%s", self._failures, error)
-                await self._state.pause(self._failures)
+                await self._state.back_off(self._failures)
 
     async def _step(self) -> None:
         """Wait for a supported level, or load if that is due and receive changes once."""
@@ -225,4 +225,4 @@
             except StateUnavailableError as error:
                 failures += 1
                 log.debug("key page read failed failures=%d error=%s", failures, error)
-                await self._state.pause(failures)
+                await self._state.back_off(failures)
--- a/badgerseam/store/task_log_writer.py
+++ b/badgerseam/store/task_log_writer.py
@@ -245,7 +245,7 @@
                 return await self._state.get(key)
             except StateUnavailableError:
                 failures += 1
-                await self._state.pause(failures)
+                await self._state.back_off(failures)
         return None
 
     async def _read_level(self) -> None:
