--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -105,7 +105,7 @@
         self.worker_manager = self._create_worker_manager()
         self.machine_records = MachineRecords(self.model, self.state, self.committer)
         self.machine_transfer = MachineTransfer(self.model, self.machine_records, self.planner)
-        self.write_rate = WriteRateAllocator(self.model, self.state.writes)
+        self.write_rate = WriteRateAllocator(self.model, self.state.write_budget)
         self.peers = self._create_peers()
         self.fleet = self._create_fleet_manager(random)
         self.state_watcher = self._create_state_watcher()
--- a/badgerseam/store/client.py
+++ b/badgerseam/store/client.py
@@ -96,7 +96,7 @@
         self._random = random
         self.params = params
         self.requests = RateBudget(clock, REQUEST_RATE_FRACTION * params.rps / nodes)
-        self.writes = RateBudget(clock, WRITE_RATE_FRACTION * params.write_rps / nodes)
+        self.write_budget = RateBudget(clock, WRITE_RATE_FRACTION * params.write_rps / nodes)
         self.confirmed_at = NEVER
         """Sending time of the latest request that was executed and answered."""
         self._next_watch_at = NEVER
--- a/badgerseam/store/committer.py
+++ b/badgerseam/store/committer.py
@@ -96,7 +96,7 @@
     def wait_s(self, urgency: Urgency) -> float:
         """How long one write of that urgency would have to wait now."""
         backoff_s = self._backoff_until - self._clock.now()
-        return max(0.0, backoff_s, self._state.writes.wait_s(1.0, self._reserve(urgency)))
+        return max(0.0, backoff_s, self._state.write_budget.wait_s(1.0, self._reserve(urgency)))
 
     async def commit(
         self,
@@ -182,7 +182,7 @@
         """How long until the first proposal of the queue may be sent, within bounds."""
         backoff_s = self._backoff_until - self._clock.now()
         first = self._queue.first()
-        budget_s = self._state.writes.wait_s(len(first.writes), self._reserve(first.urgency))
+        budget_s = self._state.write_budget.wait_s(len(first.writes), self._reserve(first.urgency))
         return max(MIN_TIMER_S, min(max(backoff_s, budget_s), MAX_TIMER_S))
 
     def _on_timer(self) -> None:
@@ -190,7 +190,7 @@
         self._send_ready()
 
     def _reserve(self, urgency: Urgency) -> float:
-        return WRITE_RESERVE[urgency] * self._state.writes.burst
+        return WRITE_RESERVE[urgency] * self._state.write_budget.burst
 
     def _gather(self, now: float) -> TransactionBatch:
         """Take the most urgent proposals that fit together into one transaction."""
@@ -218,7 +218,7 @@
 
     def _charge(self, proposal: Proposal) -> bool:
         """Take the proposal's writes from the budget; False if it does not have them now."""
-        return self._state.writes.take(len(proposal.writes), self._reserve(proposal.urgency))
+        return self._state.write_budget.take(len(proposal.writes), self._reserve(proposal.urgency))
 
     async def _send(self, batch: TransactionBatch) -> None:
         try:
@@ -265,7 +265,7 @@
             self._requeue(proposal)
         self._failures += 1
         if isinstance(error, RateLimitedError):
-            self._state.writes.penalize(RATE_LIMIT_PENALTY_S)
+            self._state.write_budget.penalize(RATE_LIMIT_PENALTY_S)
         backoff_s = MIN_BACKOFF_S * 2 ** min(self._failures, MAX_BACKOFF_DOUBLINGS)
         self._backoff_until = self._clock.now() + min(backoff_s, MAX_BACKOFF_S)
 
