--- a/badgerseam/store/client.py
+++ b/badgerseam/store/client.py
@@ -95,7 +95,7 @@
         self._address = address
         self._random = random
         self.params = params
-        self.requests = RateBudget(clock, REQUEST_RATE_FRACTION * params.rps / nodes)
+        self.request_budget = RateBudget(clock, REQUEST_RATE_FRACTION * params.rps / nodes)
         self.write_budget = RateBudget(clock, WRITE_RATE_FRACTION * params.write_rps / nodes)
         self.confirmed_at = NEVER
         """Sending time of the latest request that was executed and answered."""
@@ -116,7 +116,7 @@
 
         `reserve_fraction`: the part of a second's requests that is left to other callers.
         """
-        await self._take_request(deadline_s, reserve_fraction * self.requests.per_s)
+        await self._take_request(deadline_s, reserve_fraction * self.request_budget.per_s)
         sent_at = self._clock.now()
         try:
             response = await self._http.request(self._address, method, path, body, deadline_s)
@@ -124,7 +124,7 @@
             raise OutcomeUnknownError(str(error)) from error
         self.responses += 1
         if response.status == 429:
-            self.requests.penalize(RATE_LIMIT_PENALTY_S)
+            self.request_budget.penalize(RATE_LIMIT_PENALTY_S)
             raise RateLimitedError("429")
         if response.status >= 500:
             raise StateUnavailableError(str(response.status))
@@ -138,8 +138,8 @@
         by then, and requests that nobody waits for would take the place of others.
         """
         until = self._clock.now() + deadline_s
-        while not self.requests.take(1.0, reserve):
-            wait_s = self.requests.wait_s(1.0, reserve) + BUDGET_MARGIN_S
+        while not self.request_budget.take(1.0, reserve):
+            wait_s = self.request_budget.wait_s(1.0, reserve) + BUDGET_MARGIN_S
             if self._clock.now() + wait_s > until:
                 raise StateUnavailableError("requests of this controller are used up")
             await asyncio.sleep(wait_s)
@@ -221,7 +221,7 @@
         now = self._clock.now()
         pause_s = self._next_watch_at - now
         self._next_watch_at = max(now, self._next_watch_at) + 1.0 / (
-            WATCH_REQUEST_FRACTION * self.requests.per_s
+            WATCH_REQUEST_FRACTION * self.request_budget.per_s
         )
         if pause_s > 0:
             await asyncio.sleep(pause_s)
