--- a/badgerseam/api/explain.py
+++ b/badgerseam/api/explain.py
@@ -15,7 +15,7 @@
 from badgerseam.model.job import Job, Phase
 from badgerseam.model.model import Model
 from badgerseam.settings import ExplainOptions
-from badgerseam.wire.explain import Code, QueueLine, Why, encode
+from badgerseam.wire.explain import Code, Explanation, QueueLine, encode
 from badgerseam.wire.users import Terms
 
 QUEUE = "/queue"
@@ -81,7 +81,7 @@
         with model.lock:
             return lines_reply(encode(self._line(job, answers.get(job.id))) for job in jobs)
 
-    async def _answers(self, jobs: list[Job]) -> dict[str, Why]:
+    async def _answers(self, jobs: list[Job]) -> dict[str, Explanation]:
         """Why jobs wait, by job; those that nobody can vouch for in time are missing."""
         by_shard: dict[int, list[str]] = {}
         for job in jobs:
@@ -98,7 +98,7 @@
         hold_reason = self._rules.hold_reason(job)
         return [] if hold_reason is None else [TERMS[hold_reason]]
 
-    def _line(self, job: Job, answer: Why | None) -> QueueLine:
+    def _line(self, job: Job, answer: Explanation | None) -> QueueLine:
         """A job's line; callers hold the model's lock."""
         spec = job.spec
         terms = spec.terms or NO_TERMS
--- a/badgerseam/api/submissions.py
+++ b/badgerseam/api/submissions.py
@@ -197,7 +197,7 @@
             return refusal
         found = await self._read_confirmed(job_id, lambda job: job)
         if isinstance(found, wire.JobStatus):
-            return Reply(200, explain_wire.encode(explain_wire.Why(job_id, found.state)))
+            return Reply(200, explain_wire.encode(explain_wire.Explanation(job_id, found.state)))
         return await explain.why(found) if isinstance(found, Job) else found
 
     async def _details(self, batch: BatchApi, job_id: str) -> Reply:
--- a/badgerseam/cli/render.py
+++ b/badgerseam/cli/render.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 
 from badgerseam.explain.text import pluralize
-from badgerseam.wire.explain import Ahead, QueueLine, Reason, Transition, Why
+from badgerseam.wire.explain import Ahead, Explanation, QueueLine, Reason, Transition
 
 STATE_PHRASES = {
     "waiting": ("wait for a machine", "waits for a machine"),
@@ -33,7 +33,7 @@
     return f"{seconds / 60:.0f} min" if seconds < 5400 else f"{seconds / 3600:.1f} h"
 
 
-def why_text(answer: Why) -> str:
+def why_text(answer: Explanation) -> str:
     """An explanation; its binding reasons are marked with a star."""
     title = f"{answer.id}: {answer.phase}"
     if answer.node is not None:
--- a/badgerseam/cluster/peers.py
+++ b/badgerseam/cluster/peers.py
@@ -37,7 +37,7 @@
 LEADER_DEADLINE_S = 0.5
 """What the leader gets to say what it knows of the cloud: a user waits for the answer."""
 
-LocalAnswers = Callable[[int, list[str]], Awaitable[list[explain.Why] | None]]
+LocalAnswers = Callable[[int, list[str]], Awaitable[list[explain.Explanation] | None]]
 """Answers about jobs of a shard; None if this controller does not plan for it."""
 
 
@@ -158,7 +158,7 @@
 
     async def ask_owner(
         self, node: str, question: explain.Question, deadline_s: float
-    ) -> list[explain.Why] | None:
+    ) -> list[explain.Explanation] | None:
         """Another controller's answers; None if there are none in time."""
         body = explain.encode(question)
         response = await self._request(node, "POST", "/why", body, deadline_s)
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -19,7 +19,7 @@
 from badgerseam.model.state import Shard
 from badgerseam.sched.planner import Planner
 from badgerseam.settings import ExplainOptions
-from badgerseam.wire.explain import Code, Group, Question, Reason, Why
+from badgerseam.wire.explain import Code, Explanation, Group, Question, Reason
 
 log = logging.getLogger("badgerseam.explain")
 
@@ -32,7 +32,7 @@
 MAX_OBSERVATION_AGE_S = 0.5
 """An answer from an older survey is no observation of the job."""
 
-AskOwner = Callable[[str, Question, float], Awaitable[list[Why] | None]]
+AskOwner = Callable[[str, Question, float], Awaitable[list[Explanation] | None]]
 """Asks another controller, within so many seconds; None if it cannot or does not answer."""
 
 
@@ -66,7 +66,7 @@
 
     # ---- as the owner ----
 
-    async def local(self, shard_index: int, ids: list[str]) -> list[Why]:
+    async def local(self, shard_index: int, ids: list[str]) -> list[Explanation]:
         """Answers about jobs of a shard that this controller plans for. Jobs that it has not read
         yet are left out.
 
@@ -89,7 +89,7 @@
         with model.lock:
             return [self._answer(shard, job, survey) for job in jobs]
 
-    async def for_peer(self, shard_index: int, ids: list[str]) -> list[Why] | None:
+    async def for_peer(self, shard_index: int, ids: list[str]) -> list[Explanation] | None:
         """The answers for a peer: as `local`, but None in place of NotOwnerError."""
         try:
             return await self.local(shard_index, ids)
@@ -106,7 +106,7 @@
         ):
             raise NotOwnerError(str(shard.index))
 
-    def _answer(self, shard: Shard, job: Job, survey: Survey) -> Why:
+    def _answer(self, shard: Shard, job: Job, survey: Survey) -> Explanation:
         """The answer about one job; callers hold the model's lock."""
         now = self._clock.now()
         context = Context(
@@ -124,7 +124,7 @@
                 job.id, [reason.code for group in task_groups for reason in group.reasons], now
             )
         since = self.history.since_s(job.id, now)
-        return Why(
+        return Explanation(
             job.id,
             "running" if job.running() else "pending",
             [_dated(group, since) for group in task_groups],
@@ -156,13 +156,13 @@
 
     # ---- for any job ----
 
-    async def ask(self, job: Job) -> Why | None:
+    async def ask(self, job: Job) -> Explanation | None:
         """The answer about an open job from the controller that plans for it; None if none can
         vouch for one in time."""
         answers = await self.ask_all(job.shard, [job.id])
         return answers[0] if answers else None
 
-    async def ask_all(self, shard_index: int, ids: list[str]) -> list[Why]:
+    async def ask_all(self, shard_index: int, ids: list[str]) -> list[Explanation]:
         """Answers about jobs of one shard; those that no controller can vouch for in time are
         missing."""
         try:
@@ -171,7 +171,7 @@
         except TimeoutError:
             return []
 
-    async def _route(self, shard_index: int, ids: list[str]) -> list[Why]:
+    async def _route(self, shard_index: int, ids: list[str]) -> list[Explanation]:
         """Ask the shard's owner until it answers, whoever that is meanwhile."""
         shard = self._model.shards[shard_index]
         deadline = self._clock.now() + ANSWER_TIMEOUT_S
@@ -179,7 +179,7 @@
             claim = shard.claim
             if claim is None and self._member.lease_confirmed_within(MAX_LEASE_AGE_S):
                 return [self._no_owner(shard, job_id) for job_id in ids]
-            answers: list[Why] | None = None
+            answers: list[Explanation] | None = None
             if claim is None:
                 # This controller is cut off: another one may have claimed the shard long ago.
                 pass
@@ -198,7 +198,7 @@
             # The shard has just been transferred, or its owner has not read the job yet.
             await asyncio.sleep(RETRY_INTERVAL_S)
 
-    def _no_owner(self, shard: Shard, job_id: str) -> Why:
+    def _no_owner(self, shard: Shard, job_id: str) -> Explanation:
         """The answer about a job whose shard no controller owns."""
         unowned_s = self._clock.now() - shard.unowned_since
         reason = Reason(
@@ -212,7 +212,7 @@
             job = self._model.job(job_id)
             waiting = 0 if job is None else job.waiting()
             phase = "running" if job is not None and job.running() else "pending"
-        return Why(
+        return Explanation(
             job_id,
             phase,
             [Group("waiting", waiting, [reason])] if waiting else [],
--- a/badgerseam/lab/demo.py
+++ b/badgerseam/lab/demo.py
@@ -48,7 +48,7 @@
                 raise LabError(f"{JOB} is not {wanted} after {PATIENCE_S:.0f} s: {answer}")
             await asyncio.sleep(0.3)
 
-    async def why() -> explain.Why:
+    async def why() -> explain.Explanation:
         response = await ask("GET", f"/submissions/{JOB}/why")
         return explain.why_decoder.decode(response.body)
 
--- a/badgerseam/slurm/client.py
+++ b/badgerseam/slurm/client.py
@@ -91,7 +91,7 @@
         response = await self._request("GET", f"/submissions/{job}/details")
         return wire.details_decoder.decode(response.body)
 
-    async def why(self, job: str) -> explain.Why | None:
+    async def why(self, job: str) -> explain.Explanation | None:
         """The explanation why a job waits; None if no controller has one."""
         response = await self._service.request("GET", f"/submissions/{job}/why")
         return explain.why_decoder.decode(response.body) if response.status == 200 else None
--- a/badgerseam/slurm/control.py
+++ b/badgerseam/slurm/control.py
@@ -10,7 +10,7 @@
 from badgerseam.slurm.states import PHASE_STATES, REASON_NAMES
 from badgerseam.slurm.values import ValueFormatError, parse_begin, parse_dependencies
 from badgerseam.wire.batch import Details
-from badgerseam.wire.explain import Why
+from badgerseam.wire.explain import Explanation
 from badgerseam.wire.users import Submission, Terms
 
 CHANGEABLE_FIELDS = ("ArrayTaskThrottle", "StartTime", "Dependency", "Comment")
@@ -19,7 +19,7 @@
 """Fields of one printed line, as names and values."""
 
 
-def job_text(job: Details, why: Why | None) -> str:
+def job_text(job: Details, why: Explanation | None) -> str:
     """A job, field by field, and the reasons that hold it back."""
     spec = job.spec
     rows: list[_FieldRow] = [
@@ -92,7 +92,7 @@
     return None if at is None else datetime.fromtimestamp(at).strftime("%Y-%m-%dT%H:%M:%S")
 
 
-def _reason_name(why: Why | None) -> str:
+def _reason_name(why: Explanation | None) -> str:
     if why is None:
         return "None"
     return next((REASON_NAMES[code] for code in why.binding if code in REASON_NAMES), "None")
--- a/badgerseam/wire/explain.py
+++ b/badgerseam/wire/explain.py
@@ -97,7 +97,7 @@
     codes: list[Code]
 
 
-class Why(Struct, frozen=True, omit_defaults=True, rename="camel"):
+class Explanation(Struct, frozen=True, omit_defaults=True, rename="camel"):
     """Why a job waits, or what it does instead."""
 
     id: str
@@ -131,7 +131,7 @@
 class Answers(Struct, frozen=True):
     """The owner's answers; jobs that it has not read yet are missing."""
 
-    answers: list[Why]
+    answers: list[Explanation]
 
 
 class Blocked(Struct, frozen=True, rename="camel"):
@@ -187,7 +187,7 @@
 
 question_decoder: msgspec.json.Decoder[Question] = msgspec.json.Decoder(Question)
 answers_decoder: msgspec.json.Decoder[Answers] = msgspec.json.Decoder(Answers)
-why_decoder: msgspec.json.Decoder[Why] = msgspec.json.Decoder(Why)
+why_decoder: msgspec.json.Decoder[Explanation] = msgspec.json.Decoder(Explanation)
 cloud_view_decoder: msgspec.json.Decoder[CloudView] = msgspec.json.Decoder(CloudView)
 line_decoder: msgspec.json.Decoder[QueueLine] = msgspec.json.Decoder(QueueLine)
 encode = msgspec.json.Encoder().encode
