--- a/badgerseam/runs/run_index.py
+++ b/badgerseam/runs/run_index.py
@@ -322,4 +322,4 @@
     """The revision up to which accepted jobs are members of a run; None while it is open."""
     if record.phase == "closing":
         return version
-    return record.cut if record.phase == "closed" else None
+    return record.cutoff_version if record.phase == "closed" else None
--- a/badgerseam/wire/state.py
+++ b/badgerseam/wire/state.py
@@ -294,7 +294,7 @@
     """Who wrote it."""
     at: float
     """When the phase began."""
-    cut: int = 0
+    cutoff_version: int = 0
     """Of a closed run, the version of its closing record: members are those accepted before it. Of
     one that is closing it is the record's own version."""
     seen: int = 0
