--- a/badgerseam/api/batch.py
+++ b/badgerseam/api/batch.py
@@ -16,7 +16,7 @@
 from badgerseam.model.model import Model
 from badgerseam.model.resources import SLACK
 from badgerseam.settings import BatchOptions
-from badgerseam.store.job_records import Change
+from badgerseam.store.job_records import TermsChange
 from badgerseam.store.ledger import Ledger
 from badgerseam.wire import batch as wire
 from badgerseam.wire.users import Dependency, Submission, Terms
@@ -166,7 +166,9 @@
         terms = None if after == Terms() else after
         return msgspec.structs.replace(job.spec, terms=terms), conditions
 
-    async def _amend_by_current_records(self, job_id: str, change: Change) -> Job | Phase | None:
+    async def _amend_by_current_records(
+        self, job_id: str, change: TermsChange
+    ) -> Job | Phase | None:
         """As `Ledger.amend`; a refusal rests on records that were read after the request came,
         since another controller may have told the client of newer terms."""
         read: set[str] = set()
--- a/badgerseam/store/job_records.py
+++ b/badgerseam/store/job_records.py
@@ -25,7 +25,7 @@
 MAX_CANCEL_ATTEMPTS = 4
 MAX_AMEND_ATTEMPTS = 6
 
-Change = Callable[[Job], tuple[Submission, dict[str, int]]]
+TermsChange = Callable[[Job], tuple[Submission, dict[str, int]]]
 """A job's description with changed terms, and the versions of other keys under which it holds."""
 
 
@@ -121,7 +121,7 @@
             return None
         return wire.StoredJob("withdrawn", stored.spec.tasks, stored.accepted_at, stored.spec)
 
-    async def amend(self, job_id: str, change: Change) -> Job | Phase | None:
+    async def amend(self, job_id: str, change: TermsChange) -> Job | Phase | None:
         """Make changed terms of an open job durable: the job as it is then, or the phase of one
         that has ended, or None if there is no such job.
 
