--- a/badgerseam/api/rollout.py
+++ b/badgerseam/api/rollout.py
@@ -96,7 +96,7 @@
             next_level = level_upgrade.next_level()
             leader = model.leader_claim
             owners = {shard.index: shard.claim.record.node for shard in model.shards if shard.claim}
-            view = wire.View(
+            view = wire.RolloutView(
                 model.level.level,
                 model.program.name(model.level.level),
                 model.program.behaviours(model.level.level),
--- a/badgerseam/cli/rollout.py
+++ b/badgerseam/cli/rollout.py
@@ -113,7 +113,7 @@
     )
 
 
-def describe(view: wire.View) -> str:
+def describe(view: wire.RolloutView) -> str:
     """The state of a rollout as text."""
     lines = _level_lines(view)
     lines += [_controller_line(entry) for entry in view.controllers]
@@ -124,7 +124,7 @@
     return "\n".join(lines)
 
 
-def _level_lines(view: wire.View) -> list[str]:
+def _level_lines(view: wire.RolloutView) -> list[str]:
     lines = [f"level {view.level} ({view.name}); active: {', '.join(view.active) or 'nothing'}"]
     if view.target is not None:
         lines.append(f"operators want level {view.target}")
@@ -179,7 +179,7 @@
         self._command = command
         self._patience_s = patience_s
 
-    async def view(self, node: str) -> wire.View | None:
+    async def view(self, node: str) -> wire.RolloutView | None:
         """A controller's view of the rollout; None if it does not answer."""
         return await request_view(self._addresses[node])
 
@@ -201,7 +201,7 @@
             print(f"{node}: the command ended with code {process.returncode}")
 
 
-async def request_view(address: str) -> wire.View | None:
+async def request_view(address: str) -> wire.RolloutView | None:
     """A controller's view of a rollout; None without an answer or with rollouts switched off."""
     import msgspec
 
--- a/badgerseam/lab/lab_rollout.py
+++ b/badgerseam/lab/lab_rollout.py
@@ -6,7 +6,7 @@
 from badgerseam.cli.rollout import request_view
 from badgerseam.lab.checkouts import Checkout
 from badgerseam.lab.lab import Lab
-from badgerseam.wire.rollout import View
+from badgerseam.wire.rollout import RolloutView
 
 
 class LabRolloutTarget:
@@ -16,7 +16,7 @@
         self._lab = lab
         self._tree = tree
 
-    async def view(self, node: str) -> View | None:
+    async def view(self, node: str) -> RolloutView | None:
         """How a controller sees the site; None if it does not answer."""
         return await request_view(self._lab.addresses[node])
 
--- a/badgerseam/rollout/rolling_update.py
+++ b/badgerseam/rollout/rolling_update.py
@@ -14,7 +14,7 @@
 
 from badgerseam.clock import Clock
 from badgerseam.errors import BadgerseamError
-from badgerseam.wire.rollout import View
+from badgerseam.wire.rollout import RolloutView
 
 RESPONSIVE_FRACTION = 0.9
 """Part of a controller's machines that must send it heartbeats: some hang, or are reclaimed."""
@@ -35,7 +35,7 @@
 class RolloutTarget(Protocol):
     """The controllers of a site, and the platform that runs their processes."""
 
-    async def view(self, node: str) -> View | None:
+    async def view(self, node: str) -> RolloutView | None:
         """How a controller sees the site; None if it does not respond."""
 
     async def drain(self, node: str) -> str | None:
@@ -147,7 +147,7 @@
                 raise RolloutStoppedError(f"{node} has ended and started anew by itself")
             self._uptimes[node] = view.own.uptime_s
 
-    async def _view_with_retries(self, node: str) -> View:
+    async def _view_with_retries(self, node: str) -> RolloutView:
         """How a controller sees the site; it may be slow, or cut off for a moment."""
         view = await self._site.view(node)
         retries = 0
@@ -198,7 +198,7 @@
         return None
 
 
-def _own_problem(node: str, view: View) -> str | None:
+def _own_problem(node: str, view: RolloutView) -> str | None:
     """Why a controller itself is not healthy, if it is not."""
     own = view.own
     if own.state != ACTING:
@@ -210,7 +210,7 @@
     return None
 
 
-def _site_problem(node: str, view: View) -> str | None:
+def _site_problem(node: str, view: RolloutView) -> str | None:
     """What a controller sees wrong with the others, the shards or the leadership, if anything."""
     for controller in view.controllers:
         if controller.state != ACTING:
@@ -222,7 +222,7 @@
     return None
 
 
-def _idle_problem(node: str, view: View, node_count: int) -> str | None:
+def _idle_problem(node: str, view: RolloutView, node_count: int) -> str | None:
     """Whether a controller owns no shard, although there are enough for all."""
     shard_counts = {controller.node: len(controller.shards) for controller in view.controllers}
     if not shard_counts.get(node) and sum(shard_counts.values()) >= node_count:
--- a/badgerseam/wire/rollout.py
+++ b/badgerseam/wire/rollout.py
@@ -89,7 +89,7 @@
     migration: MigrationProgress
 
 
-class View(Struct, frozen=True, rename={"shards_without_actor": "shares_without_actor"}):
+class RolloutView(Struct, frozen=True, rename={"shards_without_actor": "shares_without_actor"}):
     """The answer of `GET /rollout`."""
 
     level: int
@@ -112,6 +112,6 @@
 
 
 takeover_decoder: msgspec.json.Decoder[TakeoverRequest] = msgspec.json.Decoder(TakeoverRequest)
-view_decoder: msgspec.json.Decoder[View] = msgspec.json.Decoder(View)
+view_decoder: msgspec.json.Decoder[RolloutView] = msgspec.json.Decoder(RolloutView)
 level_request_decoder: msgspec.json.Decoder[LevelRequest] = msgspec.json.Decoder(LevelRequest)
 encode = msgspec.json.Encoder().encode
