--- a/badgerseam/model/model.py
+++ b/badgerseam/model/model.py
@@ -67,7 +67,7 @@
         if value is None:
             self.target = None
         else:
-            self.target = msgspec.json.decode(value, type=wire.Target), version
+            self.target = msgspec.json.decode(value, type=wire.TargetLevel), version
 
     def _apply_claim(self, name: str, value: msgspec.Raw | None, version: int) -> None:
         index = int(name)
--- a/badgerseam/model/records.py
+++ b/badgerseam/model/records.py
@@ -86,7 +86,7 @@
     """How often all keys were read."""
     leader_claim: ObservedClaim | None = None
     level: ObservedLevel = field(default_factory=lambda: ObservedLevel(FIRST, 0))
-    target: tuple[wire.Target, int] | None = None
+    target: tuple[wire.TargetLevel, int] | None = None
     """The level that operators want, and the version of that record."""
     classes: tuple[wire.StoredClasses, int] | None = None
     """The site's priority classes, and the version of that record."""
--- a/badgerseam/rollout/level_upgrade.py
+++ b/badgerseam/rollout/level_upgrade.py
@@ -211,7 +211,7 @@
             version = 0 if model.target is None else model.target[1]
         if level is None and not version:
             return
-        record = wire.Target(level or 0, node, round(self._clock.wall(), 3))
+        record = wire.TargetLevel(level or 0, node, round(self._clock.wall(), 3))
         write = (
             wire.Write(delete=TARGET_KEY)
             if level is None
--- a/badgerseam/wire/state.py
+++ b/badgerseam/wire/state.py
@@ -269,7 +269,7 @@
     """No record is left in a form that a later level up to this one has replaced."""
 
 
-class Target(Struct, frozen=True, array_like=True):
+class TargetLevel(Struct, frozen=True, array_like=True):
     """The level that operators ask for; without such a record it rises when it can."""
 
     level: int
