--- a/badgerseam/store/__init__.py
+++ b/badgerseam/store/__init__.py
@@ -1,1 +1,1 @@
-"""The stored state: the client of the state service, the state watcher, and all its writers."""
+"""The stored state: the client of the state service, the state watcher and the writers."""
--- a/badgerseam/store/client.py
+++ b/badgerseam/store/client.py
@@ -1,4 +1,4 @@
-"""The client of the state service: requests with deadlines, backoff and the process's budget."""
+"""The client of the state service: requests with deadlines, rate budgets and backoff."""
 
 from __future__ import annotations
 
@@ -19,63 +19,63 @@
 log = logging.getLogger("badgerseam.store")
 
 WATCH_REQUEST_FRACTION = 0.5
-"""Part of a second's requests that following the changes may take."""
+"""Fraction of the request rate that watch requests may use."""
 REQUEST_RATE_FRACTION = 0.9
 WRITE_RATE_FRACTION = 0.95
-"""Part of the service's limits that all controllers use together, since their clocks differ."""
+"""Fractions of the service's limits that all controllers together use: the rest is a margin for
+differences between their clocks."""
 BUDGET_MARGIN_S = 0.002
-"""Added to the time after which the budget should have a request again."""
+"""Seconds added to the computed wait for the budget to allow a request."""
 RATE_LIMIT_PENALTY_S = 0.1
-"""Seconds' worth of requests that a refusal for rate takes from the budget."""
+"""A response of 429 takes this many seconds' worth of requests from the budget."""
 PAGE_ITEMS = 1000
 PAGE_DEADLINE_S = 5.0
 GRANT_DEADLINE_S = 1.5
 WATCH_MARGIN_S = 3.0
-"""How long a watch request may take beyond the wait that it asks for."""
+"""Seconds that a watch request may take in addition to its requested wait."""
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 MAX_BACKOFF_DOUBLINGS = 5
 NEVER = -1e9
-"""A time before every other one."""
+"""A time before any clock reading."""
 
 _T = TypeVar("_T")
 
 
 class StateUnavailableError(BadgerseamError):
-    """The state service did not execute the request, or did not answer."""
+    """The state service did not execute the request, or did not respond."""
 
 
 class RateLimitedError(StateUnavailableError):
-    """The state service refused the request for its rate (status 429)."""
+    """The state service refused the request because of the rate limit (status 429)."""
 
 
 class OutcomeUnknownError(StateUnavailableError):
-    """No response: the request may have been executed, or may be later."""
+    """There was no response: the request may have been executed, or may be executed later."""
 
 
 class MalformedRequestError(StateUnavailableError):
-    """The state service says that the request breaks its protocol: sent again it would be refused
-    again."""
+    """The state service rejected the request as malformed, and would reject it again."""
 
 
 class ConditionFailedError(BadgerseamError):
-    """A condition failed, so that nothing was written; `failed` names the keys."""
+    """Conditions failed, so nothing was written; `failed` lists their keys."""
 
     def __init__(self, failed: list[str]) -> None:
-        super().__init__(", ".join(failed))
+        super().__init__(f"conditions failed: {', '.join(failed)}")
         self.failed = failed
 
 
 class LeaseExpiredError(BadgerseamError):
-    """The state service no longer knows the lease."""
+    """The lease has expired or was revoked."""
 
 
 class RevisionCompactedError(BadgerseamError):
-    """The state service no longer has the changes after the revision to follow from."""
+    """The state service no longer has the changes after the requested revision."""
 
 
 class StateClient:
-    """One method for each request of the protocol.
+    """Has one method for each request of the protocol.
 
     Each raises `StateUnavailableError` if the request was not executed, and its subclass
     `OutcomeUnknownError` if there was no response.
@@ -98,13 +98,13 @@
         self.request_budget = RateBudget(clock, REQUEST_RATE_FRACTION * params.rps / nodes)
         self.write_budget = RateBudget(clock, WRITE_RATE_FRACTION * params.write_rps / nodes)
         self.confirmed_at = NEVER
-        """Sending time of the latest request that was executed and answered."""
+        """When the most recent request that was executed and answered was sent."""
         self._next_watch_at = NEVER
-        """When the next watch request may be sent."""
+        """Time before which no watch request is sent."""
         self.responses = 0
-        """Count of all responses, refusals of every kind included: an outage refuses."""
+        """Number of responses, including refusals, which also arrive during an outage."""
 
-    async def _call(
+    async def _request(
         self,
         method: str,
         path: str,
@@ -112,9 +112,10 @@
         deadline_s: float,
         reserve_fraction: float = 0.0,
     ) -> tuple[int, bytes]:
-        """The status and body of a response other than a refusal for rate or a server error.
+        """Sends a request and returns the status and body of the response.
 
-        `reserve_fraction`: the part of a second's requests that is left to other callers.
+        Raises `StateUnavailableError` for status 429 and for 500 and above. `reserve_fraction`: the
+        fraction of a second's requests that is left to other callers.
         """
         await self._take_request(deadline_s, reserve_fraction * self.request_budget.per_s)
         sent_at = self._clock.now()
@@ -125,40 +126,45 @@
         self.responses += 1
         if response.status == 429:
             self.request_budget.penalize(RATE_LIMIT_PENALTY_S)
-            raise RateLimitedError("429")
+            raise RateLimitedError("rate limit of the state service exceeded: status 429")
         if response.status >= 500:
-            raise StateUnavailableError(str(response.status))
+            raise StateUnavailableError(f"status {response.status}")
         self.confirmed_at = max(self.confirmed_at, sent_at)
         return response.status, response.body
 
     async def _take_request(self, deadline_s: float, reserve: float) -> None:
-        """Wait until the budget has a request beyond the reserve.
+        """Waits until the budget allows a request without using the reserve.
 
-        Unavailable if it has none within the deadline: whoever waits for the response has given up
-        by then, and requests that nobody waits for would take the place of others.
+        Raises `StateUnavailableError` if that would take longer than the deadline: the caller would
+        have given up by then, and the request would use budget that other callers need.
         """
         until = self._clock.now() + deadline_s
         while not self.request_budget.take(1.0, reserve):
             wait_s = self.request_budget.wait_s(1.0, reserve) + BUDGET_MARGIN_S
             if self._clock.now() + wait_s > until:
-                raise StateUnavailableError("requests of this controller are used up")
+                raise StateUnavailableError("request budget of this controller exhausted")
             await asyncio.sleep(wait_s)
 
     async def get(
         self, key: str, deadline_s: float = 2.0, reserve_fraction: float = 0.0
     ) -> wire.Entry | None:
-        """The entry of a key, or None if it does not exist; `reserve_fraction`: see `_call`."""
-        status, body = await self._call("GET", f"/keys/{key}", None, deadline_s, reserve_fraction)
+        """Returns a key's entry, or None if the key does not exist.
+
+        `reserve_fraction`: see `_request`.
+        """
+        status, body = await self._request(
+            "GET", f"/keys/{key}", None, deadline_s, reserve_fraction
+        )
         if status == 404:
             return None
         return _decode(wire.entry_decoder, status, body)
 
     async def page(self, prefix: str, after: str | None) -> wire.KeyPage:
-        """One page of the keys below a prefix."""
+        """Returns one page of the keys under a prefix, beginning after the key `after`."""
         path = f"/keys?under={prefix}&limit={PAGE_ITEMS}"
         if after is not None:
             path += f"&from={after}"
-        status, body = await self._call("GET", path, None, PAGE_DEADLINE_S)
+        status, body = await self._request("GET", path, None, PAGE_DEADLINE_S)
         return _decode(wire.key_page_decoder, status, body)
 
     async def compare_and_swap(
@@ -168,55 +174,55 @@
         deadline_s: float = 2.0,
         reserve_fraction: float = 0.0,
     ) -> int:
-        """Commit the writes if all conditions hold; the revision of the commit.
+        """Commits the writes if all conditions hold, and returns the revision of the commit.
 
-        The caller has taken the writes from the budget. `reserve_fraction`: see `_call`. Raises
-        `ConditionFailedError`, `LeaseExpiredError` if a write's lease has ended, and
-        `MalformedRequestError`.
+        The caller must have taken the writes from the write budget. `reserve_fraction`: see
+        `_request`. Raises `ConditionFailedError`, `LeaseExpiredError` if a write's lease has ended,
+        and `MalformedRequestError`.
         """
         body = wire.encode(wire.Transaction(conditions, then))
-        status, reply = await self._call("POST", "/txn", body, deadline_s, reserve_fraction)
+        status, reply = await self._request("POST", "/txn", body, deadline_s, reserve_fraction)
         if status == 409:
             raise ConditionFailedError(_decode(wire.committed_decoder, 200, reply).failed)
         if status == 400 and any(write.lease is not None for write in then):
-            raise LeaseExpiredError("transaction")
+            raise LeaseExpiredError("transaction refused: the lease of a write has ended")
         if status == 400:
-            raise MalformedRequestError(f"400: {reply[:200]!r}")
+            raise MalformedRequestError(f"status 400: {reply[:200]!r}")
         return _decode(wire.committed_decoder, status, reply).revision
 
     async def grant(self, ttl_s: float) -> int:
-        """Create a lease with this time to live; its number."""
+        """Creates a lease with this time to live, and returns its number."""
         body = b'{"ttlMs":%d}' % round(ttl_s * 1000)
-        status, reply = await self._call("POST", "/leases", body, GRANT_DEADLINE_S)
+        status, reply = await self._request("POST", "/leases", body, GRANT_DEADLINE_S)
         return _decode(wire.lease_decoder, status, reply).lease
 
     async def renew(self, lease: int, deadline_s: float) -> None:
-        """Renew a lease; `LeaseExpiredError` if it has ended."""
-        status, _ = await self._call("POST", f"/leases/{lease}/extend", b"{}", deadline_s)
+        """Renews a lease. Raises `LeaseExpiredError` if it has ended."""
+        status, _ = await self._request("POST", f"/leases/{lease}/extend", b"{}", deadline_s)
         if status == 404:
-            raise LeaseExpiredError(str(lease))
+            raise LeaseExpiredError(f"lease {lease} has ended")
         if status != 200:
-            raise StateUnavailableError(f"extend: {status}")
+            raise StateUnavailableError(f"lease {lease} not renewed: status {status}")
 
     async def revoke(self, lease: int, deadline_s: float) -> None:
-        """End any controller's lease, and delete the keys on it.
+        """Ends a lease, which may be another controller's, and deletes the keys attached to it.
 
-        Raises `LeaseExpiredError` if it has ended before.
+        Raises `LeaseExpiredError` if it has already ended.
         """
-        status, _ = await self._call("DELETE", f"/leases/{lease}", None, deadline_s)
+        status, _ = await self._request("DELETE", f"/leases/{lease}", None, deadline_s)
         if status == 404:
-            raise LeaseExpiredError(str(lease))
+            raise LeaseExpiredError(f"lease {lease} has ended")
         if status != 200:
-            raise StateUnavailableError(f"revoke: {status}")
+            raise StateUnavailableError(f"lease {lease} not revoked: status {status}")
 
     async def follow(self, prefix: str, revision: int, wait_s: float) -> wire.Changes:
-        """The changes after a revision, waiting for the first one for up to `wait_s`.
+        """Returns the changes after a revision, waiting up to `wait_s` for the first one.
 
         Raises `RevisionCompactedError` if the state service no longer has them.
 
-        At most `WATCH_REQUEST_FRACTION` of a second's requests go into this: where changes are
-        many, a response holds those since the last one. A request for each took all that users'
-        polls could get.
+        Watch requests use at most `WATCH_REQUEST_FRACTION` of the request rate: if changes are
+        frequent, each response contains all changes since the previous one. One request per change
+        would use up the budget that users' polls need.
         """
         now = self._clock.now()
         pause_s = self._next_watch_at - now
@@ -226,13 +232,13 @@
         if pause_s > 0:
             await asyncio.sleep(pause_s)
         path = f"/follow?under={prefix}&from={revision}&waitMs={round(wait_s * 1000)}"
-        status, body = await self._call("GET", path, None, wait_s + WATCH_MARGIN_S)
+        status, body = await self._request("GET", path, None, wait_s + WATCH_MARGIN_S)
         if status == 410:
-            raise RevisionCompactedError(str(revision))
+            raise RevisionCompactedError(f"no changes after revision {revision}: compacted")
         return _decode(wire.changes_decoder, status, body)
 
     async def back_off(self, failures: int) -> None:
-        """Back off after that many failures in a row."""
+        """Waits after this many consecutive failures, with exponential backoff and jitter."""
         backoff_s = MIN_BACKOFF_S * 2 ** min(failures, MAX_BACKOFF_DOUBLINGS)
         jitter = 0.5 + self._random.random()
         await asyncio.sleep(min(backoff_s, MAX_BACKOFF_S) * jitter)
@@ -240,8 +246,8 @@
 
 def _decode(decoder: msgspec.json.Decoder[_T], status: int, body: bytes) -> _T:
     if status != 200:
-        raise StateUnavailableError(f"{status}: {body[:200]!r}")
+        raise StateUnavailableError(f"unexpected status {status}: {body[:200]!r}")
     try:
         return decoder.decode(body)
     except msgspec.DecodeError as error:
-        raise StateUnavailableError(f"undecodable: {error}") from error
+        raise StateUnavailableError(f"undecodable response: {error}") from error
--- a/badgerseam/store/committer.py
+++ b/badgerseam/store/committer.py
@@ -1,4 +1,4 @@
-"""Group commit: proposals from all over the process, put into as few transactions as fit."""
+"""Group commit: combines proposals from the whole process into few transactions."""
 
 from __future__ import annotations
 
@@ -38,21 +38,21 @@
 log = logging.getLogger("badgerseam.store")
 
 MAX_IN_FLIGHT = 3
-"""Transactions that are sent and not answered."""
-MAX_PASSED_OVER = 8
-"""Proposals that do not fit a transaction, after which no further ones are tried for it."""
+"""Transactions that may be waiting for a response at the same time."""
+MAX_SKIPPED = 8
+"""How many proposals may be skipped because they do not fit, before a transaction is closed."""
 MIN_TIMER_S = 0.005
 MAX_TIMER_S = 0.5
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 MAX_BACKOFF_DOUBLINGS = 5
 RATE_LIMIT_PENALTY_S = 0.2
-"""Seconds' worth of writes that a refusal for rate takes from the budget."""
+"""A response of 429 takes this many seconds' worth of writes from the budget."""
 
 
 @dataclass(slots=True)
 class WaitStats:
-    """Times from proposal to response."""
+    """Counts of committed proposals and their times from proposal to response."""
 
     count: int = 0
     writes: int = 0
@@ -60,7 +60,7 @@
     max_s: float = 0.0
 
     def add(self, writes: int, wait_s: float) -> None:
-        """Count one committed proposal."""
+        """Counts one committed proposal."""
         self.count += 1
         self.writes += writes
         self.total_s += wait_s
@@ -78,23 +78,24 @@
         self._tasks = BackgroundTasks()
         self._timer: asyncio.TimerHandle | None = None
         self._failures = 0
-        """Transactions in a row that the state service did not execute."""
+        """Consecutive transactions that failed because the state service was unavailable."""
         self._backoff_until = 0.0
         self._wait_stats = {urgency: WaitStats() for urgency in Urgency}
 
     def report(self) -> str:
-        """How many writes each urgency has had since the last report, and their waits."""
+        """Formats the writes and wait times of each urgency since the previous report."""
         parts = [
-            f"{urgency.name.lower()} {waits.writes} (wait {waits.total_s / waits.count:.2f} s, "
-            f"most {waits.max_s:.2f} s)"
-            for urgency, waits in self._wait_stats.items()
-            if waits.count
+            f"{(name := urgency.name.lower())}_writes={stats.writes} "
+            f"{name}_mean_wait_s={stats.total_s / stats.count:.2f} "
+            f"{name}_max_wait_s={stats.max_s:.2f}"
+            for urgency, stats in self._wait_stats.items()
+            if stats.count
         ]
         self._wait_stats = {urgency: WaitStats() for urgency in Urgency}
-        return f"writes: {', '.join(parts) or 'none'}; {len(self._queue)} wait"
+        return " ".join([*parts, f"queued={len(self._queue)}"])
 
     def wait_s(self, urgency: Urgency) -> float:
-        """How long one write of that urgency would have to wait now."""
+        """Returns how long one write of this urgency would have to wait now."""
         backoff_s = self._backoff_until - self._clock.now()
         return max(0.0, backoff_s, self._state.write_budget.wait_s(1.0, self._reserve(urgency)))
 
@@ -105,20 +106,21 @@
         writes: list[Write],
         deadline_s: float | None = None,
         wanted: Callable[[], bool] | None = None,
-        patience_s: float | None = None,
+        promote_after_s: float | None = None,
         priority_class: int = 0,
     ) -> int:
-        """The revision at which the writes were applied.
+        """Commits the writes if all conditions hold, and returns the revision of the commit.
 
-        `wanted`: asked before each sending whether the proposal is still to be sent.
-        `patience_s`: for how long more urgent proposals may go before it; None: always.
-        `priority_class`: lower ones go first among proposals of the same urgency, for half of the
-        deadline.
+        `wanted`: called before each attempt to send; the proposal is dropped if it returns False.
+        `promote_after_s`: how long the proposal may wait before it is promoted to the urgency of a
+        placement; None: it is never promoted.
+        `priority_class`: among proposals of the same urgency, lower classes are sent first. After
+        half of the deadline the proposal is moved to the first class.
 
-        Raises `ConditionFailedError` if a condition failed (an earlier sending without a response
-        may have been applied), `LeaseExpiredError` if a write's lease has ended,
+        Raises `ConditionFailedError` if a condition failed (an earlier attempt that received no
+        response may have been applied), `LeaseExpiredError` if a write's lease has ended,
         `StateUnavailableError` after the deadline, `ProposalRejectedError` if the proposal is
-        malformed, `ProposalDroppedError` when it is no longer wanted.
+        malformed, and `ProposalDroppedError` if it is no longer wanted.
         """
         now = self._clock.now()
         proposal = Proposal(
@@ -130,7 +132,7 @@
             deadline=None if deadline_s is None else now + deadline_s,
             wanted=wanted,
         )
-        self._schedule_promotions(proposal, patience_s, deadline_s, priority_class)
+        self._schedule_promotions(proposal, promote_after_s, deadline_s, priority_class)
         self._queue.push(proposal, self._clock.now())
         self._send_ready()
         return await proposal.future
@@ -138,16 +140,16 @@
     def _schedule_promotions(
         self,
         proposal: Proposal,
-        patience_s: float | None,
+        promote_after_s: float | None,
         deadline_s: float | None,
         priority_class: int,
     ) -> None:
         loop = asyncio.get_running_loop()
-        if patience_s is not None:
-            proposal.promoted_at = proposal.proposed_at + patience_s
-            loop.call_later(patience_s, self._promote, proposal)
+        if promote_after_s is not None:
+            proposal.promoted_at = proposal.proposed_at + promote_after_s
+            loop.call_later(promote_after_s, self._promote, proposal)
         if priority_class and deadline_s is not None:
-            # Behind a stream of others for good, it would never be answered.
+            # Otherwise a steady stream of proposals of lower classes could keep it unsent.
             proposal.priority_class = priority_class
             loop.call_later(deadline_s / 2, self._promote_to_first_class, proposal)
 
@@ -157,7 +159,7 @@
             self._promote(proposal)
 
     def _promote(self, proposal: Proposal) -> None:
-        """Queue a proposal anew that has waited behind others for as long as it may."""
+        """Queues an unsent proposal again at its higher urgency or class."""
         if not proposal.future.done() and not proposal.is_sent:
             self._queue.push(proposal, self._clock.now())
             self._send_ready()
@@ -167,19 +169,19 @@
         self._queue.push(proposal, self._clock.now())
 
     def _send_ready(self) -> None:
-        """Send what the budget allows now, and set a timer for the rest."""
+        """Sends what the write budget allows now, and sets a timer for the rest."""
         while self._queue and self._in_flight < MAX_IN_FLIGHT:
-            batch = self._gather(self._clock.now())
+            batch = self._build_batch(self._clock.now())
             if not batch.proposals:
                 break
             self._in_flight += 1
             self._tasks.spawn(self._send(batch))
         if self._queue and self._timer is None and self._in_flight < MAX_IN_FLIGHT:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(self._timer_s(), self._on_timer)
+            self._timer = loop.call_later(self._timer_delay_s(), self._on_timer)
 
-    def _timer_s(self) -> float:
-        """How long until the first proposal of the queue may be sent, within bounds."""
+    def _timer_delay_s(self) -> float:
+        """Returns the time until the first queued proposal may be sent, within bounds."""
         backoff_s = self._backoff_until - self._clock.now()
         first = self._queue.first()
         budget_s = self._state.write_budget.wait_s(len(first.writes), self._reserve(first.urgency))
@@ -192,32 +194,32 @@
     def _reserve(self, urgency: Urgency) -> float:
         return WRITE_RESERVE[urgency] * self._state.write_budget.burst
 
-    def _gather(self, now: float) -> TransactionBatch:
-        """Take the most urgent proposals that fit together into one transaction."""
+    def _build_batch(self, now: float) -> TransactionBatch:
+        """Takes the most urgent proposals that fit together into one transaction off the queue."""
         batch = TransactionBatch(self._state.params.txn_ops)
-        passed_over: list[QueueEntry] = []
+        skipped: list[QueueEntry] = []
         while (entry := self._queue.pop(now)) is not None:
             proposal = entry.proposal
             if now < self._backoff_until:
-                passed_over.append(entry)
+                skipped.append(entry)
                 continue
             if not batch.fits(proposal):
-                passed_over.append(entry)
-                if len(passed_over) >= MAX_PASSED_OVER:
+                skipped.append(entry)
+                if len(skipped) >= MAX_SKIPPED:
                     break
                 continue
             if not self._charge(proposal):
-                passed_over.append(entry)
+                skipped.append(entry)
                 break
             proposal.is_sent = True
             batch.add(proposal)
             if proposal.has_lease:
                 break
-        self._queue.restore(passed_over)
+        self._queue.restore(skipped)
         return batch
 
     def _charge(self, proposal: Proposal) -> bool:
-        """Take the proposal's writes from the budget; False if it does not have them now."""
+        """Charges the proposal's writes to the budget; False if the budget is too low now."""
         return self._state.write_budget.take(len(proposal.writes), self._reserve(proposal.urgency))
 
     async def _send(self, batch: TransactionBatch) -> None:
@@ -249,7 +251,7 @@
                 proposal.future.set_result(revision)
 
     def _on_condition_failed(self, batch: TransactionBatch, error: ConditionFailedError) -> None:
-        """Fail the proposals whose conditions do not hold; the others are sent again."""
+        """Fails the proposals whose conditions do not hold, and queues the others again."""
         for proposal in batch.proposals:
             if proposal.future.done():
                 continue
@@ -260,7 +262,7 @@
                 self._requeue(proposal)
 
     def _on_unavailable(self, batch: TransactionBatch, error: StateUnavailableError) -> None:
-        """Send all proposals again after a pause, whether or not they were executed."""
+        """Queues all proposals again after a backoff, whether or not they were executed."""
         for proposal in batch.proposals:
             self._requeue(proposal)
         self._failures += 1
@@ -270,7 +272,10 @@
         self._backoff_until = self._clock.now() + min(backoff_s, MAX_BACKOFF_S)
 
     def _on_malformed(self, batch: TransactionBatch, error: MalformedRequestError) -> None:
-        """One proposal that can never be written must not hold up the others for ever."""
+        """Queues the proposals again to be sent one at a time; fails one that was sent alone.
+
+        Otherwise a single malformed proposal would block the others for ever.
+        """
         if len(batch.proposals) > 1:
             for proposal in batch.proposals:
                 proposal.must_be_alone = True
--- a/badgerseam/store/job_records.py
+++ b/badgerseam/store/job_records.py
@@ -1,4 +1,4 @@
-"""Records of single jobs: acceptance, cancellation and amendment by users, and current reads."""
+"""Job records: acceptance, cancellation and amendment by users, and reads of the current record."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 from badgerseam.wire.users import Submission
 
 USER_DEADLINE_S = 1.5
-"""A user whose request cannot be served is told so soon, well before a client's usual timeout."""
+"""A request that cannot be served fails after this time, well before a client's usual timeout."""
 READ_DEADLINE_S = 1.0
 MAX_READ_ATTEMPTS = 3
-"""Reads of a record that is not found, although it becomes known before each response."""
+"""How often a record that is not found is read, if its job becomes known during each read."""
 MAX_CANCEL_ATTEMPTS = 4
 MAX_AMEND_ATTEMPTS = 6
 
 TermsChange = Callable[[Job], tuple[Submission, dict[str, int]]]
-"""A job's description with changed terms, and the versions of other keys under which it holds."""
+"""Returns a job's description with changed terms, and the versions that other keys must have for
+the change to be valid."""
 
 
 class _StoredVersion(NamedTuple):
@@ -37,25 +38,25 @@
 
 
 class JobStore:
-    """Writes and reads the records of jobs, whoever owns their shards."""
+    """Writes and reads the records of jobs, regardless of which controller owns their shards."""
 
     def __init__(
         self,
         model: Model,
         state: StateClient,
         committer: GroupCommitter,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        """`changed`: called after the model has changed."""
+        """`on_change`: called after the model has changed."""
         self._model = model
         self._state = state
         self._committer = committer
-        self._changed = changed
+        self._on_change = on_change
         self.class_of: Callable[[Submission], int] | None = None
-        """The priority class of a submission, where there are classes."""
+        """Returns the priority class of a submission; None if the site has no classes."""
 
     async def accept(self, spec: Submission) -> bool:
-        """Make a job durable; False if it was known already, and its record was read instead."""
+        """Writes a new job's record; False if there already is one, which is then read."""
         model = self._model
         stored = wire.StoredJob("open", spec.tasks, round(model.clock.wall(), 3), spec)
         value = wire.raw(stored)
@@ -70,13 +71,15 @@
             )
         except ConditionFailedError:
             if await self.read(spec.id) is None:
-                raise StateUnavailableError("refused, but not found") from None
+                raise StateUnavailableError(
+                    f"job {spec.id} not accepted: its record exists but could not be read"
+                ) from None
             return False
         self._apply(key, value, revision)
         return True
 
     async def cancel(self, job_id: str) -> Phase | None:
-        """Make a cancellation durable; the final phase, or None if there is no such job."""
+        """Writes a cancellation; returns the final phase, or None if there is no such job."""
         model = self._model
         key = job_key(job_id)
         for _ in range(MAX_CANCEL_ATTEMPTS):
@@ -109,11 +112,14 @@
                 continue
             self._apply(key, value, revision)
             return Phase.CANCELLED
-        raise StateUnavailableError("the job keeps changing")
+        raise StateUnavailableError(f"job {job_id} not cancelled: its record kept changing")
 
     def _cancelled_record(self, job_id: str, stored: wire.StoredJob) -> wire.StoredJob | None:
-        """The final record of a job that the model does not hold, since the settings no longer name
-        its team; None if the model knows it by now, or the record has no terms."""
+        """Returns the final record of a cancelled job that is not in the model, because its team is
+        no longer in the settings.
+
+        None if the job is in the model by now, or the record has no description of it.
+        """
         model = self._model
         with model.lock:
             is_known = job_id in model.ended or model.job(job_id) is not None
@@ -122,11 +128,11 @@
         return wire.StoredJob("withdrawn", stored.spec.tasks, stored.accepted_at, stored.spec)
 
     async def amend(self, job_id: str, change: TermsChange) -> Job | Phase | None:
-        """Make changed terms of an open job durable: the job as it is then, or the phase of one
-        that has ended, or None if there is no such job.
+        """Writes changed terms of an open job.
 
-        `change` is called again whenever the record, or one of those that it named as conditions,
-        has changed meanwhile; applied to its own result it must give the same.
+        Returns the changed job, the phase of a job that has ended, or None if there is no such job.
+        `change` is called again if the record, or a record that it named as a condition, has
+        changed in the meantime; it must be idempotent.
         """
         model = self._model
         key = job_key(job_id)
@@ -143,7 +149,7 @@
                 continue
             spec, conditions = changed
             value = wire.raw(_amended_record(job, spec))
-            # A change that changes nothing is confirmed all the same: the model may be outdated.
+            # The conditions are checked even if nothing changes, since the model may be outdated.
             writes = [] if spec == job.spec else [wire.Write(put=key, value=value)]
             try:
                 revision = await self._committer.commit(
@@ -156,28 +162,28 @@
             if writes:
                 self._apply(key, value, revision)
             return job
-        raise StateUnavailableError("the job keeps changing")
+        raise StateUnavailableError(f"job {job_id} not amended: its record kept changing")
 
     def _apply(self, key: str, value: Raw, version: int) -> None:
-        """Take a record over that was written or read."""
+        """Applies a record that was written or read to the model."""
         with self._model.lock:
             self._model.apply(key, value, version)
-        self._changed()
+        self._on_change()
 
     async def read(self, job_id: str, reserve_fraction: float = 0.0) -> Phase | None:
-        """A job's phase as the state service has it now; None only if it has no record of it.
+        """Reads a job's current phase; None only if the state service has no record of the job.
 
-        `reserve_fraction`: the part of a second's requests that is left to other callers.
+        `reserve_fraction`: the fraction of a second's requests that is left to other callers.
         """
         found = await self._fetch(job_id, reserve_fraction)
         if found is None:
             return None
-        # The end may have become known, and users may have seen it, since the record was read.
+        # The job's end may have reached the model, and users, after the record was read.
         ended = self._model.ended.get(job_id)
         return PHASE_NAMES[found.record.state] if ended is None else ended[0]
 
     async def _fetch(self, job_id: str, reserve_fraction: float = 0.0) -> _StoredVersion | None:
-        """Apply a job's record as the state service has it now to the model, and return it."""
+        """Reads a job's current record, applies it to the model and returns it."""
         for _ in range(MAX_READ_ATTEMPTS):
             entry = await self._state.get(job_key(job_id), READ_DEADLINE_S, reserve_fraction)
             if entry is not None:
@@ -187,16 +193,16 @@
                 )
             with self._model.lock:
                 is_known = job_id in self._model.ended or job_id in self._model.job_index
-            # If the job was accepted while the response was on its way, its user may have seen
-            # that: read again.
+            # If the job was accepted during the read, its user may already know this, so it must
+            # not be reported as missing: read again.
             if not is_known:
                 return None
-        raise StateUnavailableError("known, but not found")
+        raise StateUnavailableError(f"job {job_id} is in the model but its record was not found")
 
     def final_record(
         self, job: Job, state: str, spec: Submission | None, usage: Usage | None
     ) -> wire.StoredJob:
-        """A job's final record; for a member of a plan's run, with what identifies the run."""
+        """Returns a job's final record, which for a member of a plan's run identifies the run."""
         observer = self._model.job_observer
         accepted_at = round(job.submitted, 3)
         plan = None if observer is None else observer.plan_of(job)
--- a/badgerseam/store/ledger.py
+++ b/badgerseam/store/ledger.py
@@ -1,4 +1,4 @@
-"""Durable state of owned shards: their task logs, the ends of their jobs, their counts."""
+"""The durable state of owned shards: task logs, final records of jobs, and counts."""
 
 from __future__ import annotations
 
@@ -22,19 +22,20 @@
 
 SUMMARY_DEADLINE_S = 5.0
 COUNTS_DEADLINE_S = 5.0
-END_S = 1.5
-"""For how long placements go before a job's end: users ask for it 3 s after at the earliest."""
-LOW_END_S = 40.0
-"""The same for jobs of the lowest priority: hundreds of single tasks that end must not keep the
-placements of others waiting."""
+END_PROMOTION_S = 1.5
+"""Time after which a job's final record is promoted to the urgency of a placement. Users ask for it
+no earlier than 3 s after the job's end."""
+LOW_PRIORITY_END_PROMOTION_S = 40.0
+"""The same for jobs of the lowest priority: the ends of hundreds of single-task jobs must not delay
+the placements of other jobs."""
 REJECTED_RETRY_S = 1.0
-"""Pause before a final record that was called malformed is proposed again."""
+"""Seconds before a final record that was rejected as malformed is proposed again."""
 READ_RETRY_S = 0.2
-"""Pause after a record could not be read."""
+"""Seconds to wait after a record could not be read."""
 
 
 class _Summary(NamedTuple):
-    """A final record with the summary of a cancelled job, which replaces one of this version."""
+    """A cancelled job's final record with a summary, and the version of the record it replaces."""
 
     job_id: str
     version: int
@@ -42,55 +43,55 @@
 
 
 class Ledger(JobStore):
-    """Writes jobs and tasks; the shards' part of it only for shards that are owned."""
+    """Writes job records, and for owned shards also task logs, final records and counts."""
 
     def __init__(
         self,
         model: Model,
         state: StateClient,
         committer: GroupCommitter,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         resign: Callable[[Shard], None],
     ) -> None:
-        """`changed`: called after the model has changed; `resign`: gives up a shard, with the lock
-        held."""
-        super().__init__(model, state, committer, changed)
+        """`on_change`: called after the model has changed; `resign`: gives up a shard, called with
+        the lock held."""
+        super().__init__(model, state, committer, on_change)
         self._resign = resign
-        self._task_log = TaskLogWriter(model, state, committer, changed, resign)
+        self._task_log = TaskLogWriter(model, state, committer, on_change, resign)
         self._tasks = BackgroundTasks()
         self._is_writing_summaries = False
 
     def flush(self) -> None:
-        """Start the writes that are due; called after every change and by a timer."""
+        """Starts the writes that are due; called after every change and by a timer."""
         model = self._model
         now = model.clock.now()
         with model.lock:
             for index in list(model.jobs_ending):
-                self._start_end(index)
+                self._start_final_record(index)
             for shard in model.shards:
-                # At a level that this program does not support nothing is composed any more,
-                # whether or not the state watcher has shown the level yet.
+                # If the program does not support the site's level, nothing is written, even before
+                # the state watcher has received the level.
                 if shard.owned and not shard.committing and model.is_supported:
                     self._task_log.flush(shard, now)
 
     def refresh(self, shard: Shard, number: int) -> bool:
-        """Write one page anew in the level's form; see `TaskLogWriter.refresh`."""
+        """Rewrites one page in the level's format; see `TaskLogWriter.refresh`."""
         return self._task_log.refresh(shard, number)
 
-    # ---- ends of jobs ----
+    # ---- final records of jobs ----
 
-    def _start_end(self, index: int) -> None:
-        """Start writing a job's final record, unless it is on its way; with the lock held."""
+    def _start_final_record(self, index: int) -> None:
+        """Starts writing a job's final record unless a write is in progress; with the lock held."""
         model = self._model
         job = model.jobs[index] if index < len(model.jobs) else None
         if job is None or not job.ending or not model.shards[job.shard].owned:
             model.jobs_ending.discard(index)
         elif not job.end_sent:
             job.end_sent = True
-            self._tasks.spawn(self._end(job))
+            self._tasks.spawn(self._write_final_record(job))
 
-    async def _end(self, job: Job) -> None:
-        """Write the final record of a job all of whose tasks are done."""
+    async def _write_final_record(self, job: Job) -> None:
+        """Writes the final record of a job whose tasks are all done."""
         model = self._model
         shard = model.shards[job.shard]
         term = shard.term
@@ -103,28 +104,28 @@
                 {claim_key(shard.index): term, key: job.version},
                 [wire.Write(put=key, value=value)],
                 wanted=lambda: shard.owned and shard.term == term and job.phase == Phase.OPEN,
-                patience_s=END_S if job.rank else LOW_END_S,
+                promote_after_s=END_PROMOTION_S if job.rank else LOW_PRIORITY_END_PROMOTION_S,
             )
         except ProposalDroppedError:
             job.end_sent = False
         except StateUnavailableError:
-            # A proposal without a deadline fails so only if it was called malformed.
+            # Without a deadline, a proposal fails with this only if it was rejected as malformed.
             await asyncio.sleep(REJECTED_RETRY_S)
             job.end_sent = False
         except ConditionFailedError as error:
             job.end_sent = False
-            await self._on_end_refused(job, shard, term, error)
+            await self._on_final_record_refused(job, shard, term, error)
         else:
             with model.lock:
                 model.apply(key, value, revision)
-        self._changed()
+        self._on_change()
 
-    async def _on_end_refused(
+    async def _on_final_record_refused(
         self, job: Job, shard: Shard, term: int, error: ConditionFailedError
     ) -> None:
         is_claim_lost = claim_key(shard.index) in error.failed
         if is_claim_lost and shard.owned and shard.term == term:
-            # Otherwise the shard was given up, or claimed anew, after this was sent.
+            # Otherwise the shard was given up or claimed again after the proposal was sent.
             self._resign(shard)
         try:
             await self.read(job.id)
@@ -134,7 +135,7 @@
     # ---- summaries and counts ----
 
     def write_summaries(self) -> None:
-        """Add the summaries of cancelled jobs to their records; called now and then."""
+        """Adds the summaries of cancelled jobs to their records; called periodically."""
         accounts = self._model.accounts
         if accounts is None or self._is_writing_summaries:
             return
@@ -157,7 +158,7 @@
                 SUMMARY_DEADLINE_S,
             )
         except ConditionFailedError as error:
-            # Written before, without a response, or by an owner before this one.
+            # Already written: by an attempt without a response, or by a previous owner.
             await self._read_jobs(error.failed)
         except (StateUnavailableError, ProposalDroppedError):
             log.debug("summaries not written jobs=%d", len(summaries))
@@ -177,8 +178,7 @@
                 log.debug("job record not read job=%s", job_id)
 
     async def write_counts(self, shard: Shard) -> None:
-        """Write the counts of finished and evicted tasks of an owned shard (G and F of the GFS
-        paper)."""
+        """Writes a shard's counts of finished and evicted tasks (G and F of the GFS paper)."""
         key = counts_key(shard.index)
         value = wire.raw(wire.StoredCounts(shard.finished, shard.evicted))
         try:
--- a/badgerseam/store/log_compaction.py
+++ b/badgerseam/store/log_compaction.py
@@ -1,4 +1,4 @@
-"""Compaction of the task log: which entries of a page still count when it is written again."""
+"""Compaction of the task log: which entries of a page are still live when it is rewritten."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 @dataclass(slots=True)
 class Superseded:
-    """What the transaction at hand writes anew, so that older pages need not hold it."""
+    """What the current transaction writes, so that older pages no longer have to contain it."""
 
     attempts: set[int] = field(default_factory=set)
-    """Planned attempts, by `id`."""
+    """The `id()` of planned attempts."""
     chunks: dict[str, set[int]] = field(default_factory=dict)
-    """Chunks of finished tasks, by job."""
+    """Chunks whose sets of finished tasks are written, by job."""
     notes: set[tuple[str, NoteKey]] = field(default_factory=set)
-    """Jobs and their notes."""
+    """Notes, each with the id of its job."""
 
 
 def live_entries(
     model: Model, page: Page, number: int, superseded: Superseded
 ) -> dict[str, wire.JobRows]:
-    """What of the page with this number still counts, as it is now, by job."""
+    """Returns the live entries of the page with this number, in their current form, by job."""
     live: dict[str, wire.JobRows] = {}
     has_starts = model.is_active(Behaviour.ATTEMPT_STARTS)
-    # Attempts are timed by the process's clock, the stored times of day by the wall clock.
+    # Attempts are timed with the process's clock, stored times of day with the wall clock.
     wall_offset = model.clock.wall() - model.clock.now()
     for entry in page.jobs.values():
         job = model.job(entry.job)
         if job is None:
-            # Ended, with nothing left.
+            # The job has ended and was removed from the model.
             continue
         done = _live_bits(job, entry, number, superseded)
         rows = _live_rows(job, entry, superseded)
@@ -46,7 +46,7 @@
 
 
 def count_missing_starts(model: Model, page: Page, min_runtime_s: float) -> int:
-    """How many rows lack the start of an attempt that has run for at least this long."""
+    """Counts the rows without a start time whose attempt has run for at least this long."""
     latest_start = model.clock.now() - min_runtime_s
     count = 0
     for entry in page.jobs.values():
@@ -83,13 +83,13 @@
 
 
 def _live_row(job: Job, row: wire.TaskRow, superseded: Superseded) -> wire.TaskRow | None:
-    """A row as it is to be written again, or None if it no longer counts.
+    """Returns a row in its current form, or None if it is no longer live.
 
-    A row without a machine remembers an attempt's number, so that it is not used twice.
+    A row without a machine keeps an attempt's number from being used again.
     """
     task = row.task
-    # A task that finished before this owner read it has no known attempt number, although others
-    # of its chunk may have unsaved bits.
+    # The attempt number of a task that finished under a previous owner is not known, even if other
+    # tasks of its chunk have completions that are not durable yet.
     if job.status[task] == FINISHED and (
         task not in job.tries or not _is_completion_pending(job, task)
     ):
@@ -98,7 +98,7 @@
     if attempt is None:
         if job.phase != Phase.OPEN:
             return None
-        # The attempt after the row's may have been taken back before it was durable.
+        # A later attempt than the row's may have been undone before it became durable.
         return wire.TaskRow(task, job.tries[task], None)
     if row.attempt == job.tries.get(task):
         return row
@@ -108,17 +108,17 @@
 
 
 def _is_undurable(attempt: Attempt, superseded: Superseded) -> bool:
-    """Whether an attempt is neither durable nor part of the transaction at hand."""
+    """Whether an attempt is neither durable nor part of the current transaction."""
     return attempt.stage == Stage.PLANNED and id(attempt) not in superseded.attempts
 
 
 def _is_completion_pending(job: Job, task: int) -> bool:
-    """Whether a task has finished and this is not durable yet."""
+    """Whether the completion of a finished task may not be durable yet."""
     return task // job.chunk_size in job.done_bits_changed
 
 
 def _starts(job: Job, rows: list[wire.TaskRow], wall_offset: float) -> list[tuple[int, int]]:
-    """The tasks whose attempts run, and when they started: tenths of a second after acceptance."""
+    """Returns tasks and when their attempts started, in tenths of a second after acceptance."""
     starts: list[tuple[int, int]] = []
     for row in rows:
         attempt = job.attempts.get(row.task)
--- a/badgerseam/store/machine_records.py
+++ b/badgerseam/store/machine_records.py
@@ -1,4 +1,4 @@
-"""The records of machines, a machine group to a key, and their only writer."""
+"""Writes the records of machines; each key holds the records of one machine group."""
 
 from __future__ import annotations
 
@@ -19,36 +19,37 @@
 from badgerseam.store.committer import GroupCommitter, ProposalDroppedError, Urgency
 from badgerseam.wire import state as wire
 
-GATHER_S = 0.02
-"""Pause before a write, so that it takes the changes of the same moment along."""
-POLL_S = 0.3
-"""How often it is looked whether deferred changes may be written."""
+COALESCE_S = 0.02
+"""Seconds to wait before a write, so that it includes the changes made at about the same time."""
+DEFER_POLL_S = 0.3
+"""Seconds between checks whether deferred changes may be written."""
 READ_RETRY_S = 0.2
-"""Pause after a group could not be read; the state watcher may bring it meanwhile."""
+"""Seconds to wait after a group could not be read; the state watcher may receive it in the
+meantime."""
 ROW_BYTES = 128
-"""What a machine's row takes at most, as long as its names are short."""
+"""Maximum size of a machine's row if its names are short."""
 ADDRESS_BYTES = 32
-"""What a row grows by when its machine's address becomes known."""
+"""Maximum growth of a row when its machine's address becomes known."""
 FILL_FRACTION = 0.9
-"""Part of a value's maximum size that a group uses."""
+"""Fraction of a value's maximum size that a group uses."""
 WRITE_ERRORS = (
     ConditionFailedError,
     StateUnavailableError,
     ProposalDroppedError,
     LeaseExpiredError,
 )
-"""What a write fails with that was not carried out, or whose outcome is not known."""
+"""Errors of a write that was not executed, or whose outcome is not known."""
 
-Edit = Callable[[wire.StoredMachine], wire.StoredMachine | None]
-"""The new row of a machine for its present one; None removes it."""
+RowEdit = Callable[[wire.StoredMachine], wire.StoredMachine | None]
+"""Returns a machine's new row for its current one; None removes the row."""
 
 
 @dataclass(slots=True, eq=False)
 class _Change:
-    """An edit of some machines of a group, and the claim under which it may be made."""
+    """An edit of some rows of a group, and the claim under which it may be made."""
 
     names: frozenset[str]
-    edit: Edit
+    edit: RowEdit
     claim_key: str
     claim_version: int
     wanted: Callable[[], bool]
@@ -56,10 +57,10 @@
 
 
 class MachineRecords:
-    """Gathers the changes of a group into one write.
+    """Combines the concurrent changes of a group into one write.
 
-    Owners transfer machines and give them up, the leader adds and removes them. A group that
-    another controller has written in between is read again before the next attempt.
+    Owners transfer and drop machines; the leader adds and removes them. If another controller has
+    written the group in the meantime, it is read again before the next attempt.
     """
 
     def __init__(self, model: Model, state: StateClient, committer: GroupCommitter) -> None:
@@ -67,13 +68,13 @@
         self._state = state
         self._committer = committer
         self._pending: dict[str, list[_Change]] = {}
-        """Changes by group; a group is present as long as a task writes it."""
+        """Changes to be written, by group; a group is present as long as a task writes it."""
         self._deferred: dict[str, list[_Change]] = {}
-        """Changes by group that wait for another write of it, or for budget."""
+        """Changes that wait for another write of their group or for spare budget, by group."""
         self._tasks = BackgroundTasks()
 
     def max_rows(self, rows: list[wire.StoredMachine]) -> int:
-        """How many machines like these fit into one group."""
+        """Returns how many machines with rows like these fit into one group."""
         longest = max((len(wire.encode(row)) + ADDRESS_BYTES for row in rows), default=0)
         capacity = int(self._model.settings.params.state.value_kb * 1024 * FILL_FRACTION)
         return max(1, capacity // max(ROW_BYTES, longest))
@@ -86,9 +87,9 @@
         more_writes: list[wire.Write],
         wanted: Callable[[], bool],
     ) -> None:
-        """Write a new group of at most `max_rows` machines, with other writes in one transaction.
+        """Writes a new group of at most `max_rows` machines and other writes in one transaction.
 
-        Raises one of `WRITE_ERRORS` if that did not succeed.
+        Raises one of `WRITE_ERRORS` on failure.
         """
         key = group_key(group)
         conditions = dict(conditions)
@@ -102,9 +103,10 @@
             )
         except ConditionFailedError as error:
             if key in error.failed:
-                # An earlier sending was carried out, and only its response was lost. Machines that
-                # were not known before the state watcher showed them were recorded in a second
-                # group, and which of the two counts differed between controllers.
+                # An earlier attempt was executed and only its response was lost. The group is read
+                # at once: if the machines stayed unknown until the state watcher receives them,
+                # they would be recorded in a second group, and controllers would differ in which
+                # of the two records they use.
                 await self._read_until_answered(key, wanted)
             raise
         with self._model.lock:
@@ -114,17 +116,17 @@
     async def change(
         self,
         machines: Iterable[Machine],
-        edit: Edit,
+        edit: RowEdit,
         claim: tuple[str, int],
         wanted: Callable[[], bool],
-        patience_s: float = 0.0,
+        max_defer_s: float = 0.0,
     ) -> set[str]:
-        """Edit the rows of machines; the names of those for which that is durable.
+        """Edits the rows of machines; returns the names of those whose edit is durable.
 
         `claim`: the key and version of the claim under which the edit may be made.
-        `wanted`: asked before each sending whether the edit is still to be made.
-        `patience_s`: for how long it may wait for another write of their group, or for writes to
-        spare, whichever comes first.
+        `wanted`: called before each attempt to send; the edit is dropped if it returns False.
+        `max_defer_s`: how long the edit may wait for another write of the group or for spare write
+        budget, whichever comes first.
         """
         names_by_group: dict[str, set[str]] = {}
         for machine in machines:
@@ -133,8 +135,8 @@
         for group, names in names_by_group.items():
             change = _Change(frozenset(names), edit, *claim, wanted)
             changes.append(change)
-            if patience_s > 0 and group not in self._pending:
-                self._defer(group, change, patience_s)
+            if max_defer_s > 0 and group not in self._pending:
+                self._defer(group, change, max_defer_s)
             else:
                 self._enqueue(group, [change])
         outcomes = await asyncio.gather(
@@ -155,24 +157,24 @@
             self._pending[group] = changes
             self._tasks.spawn(self._write_pending(group))
 
-    def _defer(self, group: str, change: _Change, patience_s: float) -> None:
+    def _defer(self, group: str, change: _Change, max_defer_s: float) -> None:
         self._deferred.setdefault(group, []).append(change)
-        self._tasks.spawn(self._enqueue_deferred(group, patience_s))
+        self._tasks.spawn(self._enqueue_deferred(group, max_defer_s))
 
-    async def _enqueue_deferred(self, group: str, patience_s: float) -> None:
-        """Enqueue a group's deferred changes in time, unless another write takes them along."""
-        until = self._model.clock.now() + patience_s
+    async def _enqueue_deferred(self, group: str, max_defer_s: float) -> None:
+        """Enqueues a group's deferred changes in time, unless another write includes them."""
+        until = self._model.clock.now() + max_defer_s
         while group in self._deferred:
             if self._model.clock.now() >= until or self._committer.wait_s(Urgency.UPKEEP) <= 0:
                 self._enqueue(group, self._deferred.pop(group))
                 return
-            await asyncio.sleep(min(POLL_S, patience_s))
+            await asyncio.sleep(min(DEFER_POLL_S, max_defer_s))
 
     async def _write_pending(self, group: str) -> None:
-        """Write a group until no changes of it are pending."""
+        """Writes a group until it has no pending changes."""
         try:
             while self._pending[group]:
-                await asyncio.sleep(GATHER_S)
+                await asyncio.sleep(COALESCE_S)
                 changes = self._pending[group] + self._deferred.pop(group, [])
                 self._pending[group] = []
                 while changes:
@@ -181,7 +183,7 @@
             del self._pending[group]
 
     async def _write(self, group: str, changes: list[_Change]) -> list[_Change]:
-        """Try once; the changes that are to be tried again."""
+        """Tries to write the changes once; returns those that have to be retried."""
         key = group_key(group)
         with self._model.lock:
             version, stored = self._model.groups.get(group, (0, {}))
@@ -210,7 +212,7 @@
         conditions: dict[str, int],
         changes: list[_Change],
     ) -> None:
-        """Write a group's rows, or delete the group if there are none."""
+        """Writes a group's rows, or deletes the group if there are none."""
         value = wire.raw(list(rows.values())) if rows else None
         write = wire.Write(put=key, value=value) if rows else wire.Write(delete=key)
         revision = await self._committer.commit(
@@ -225,7 +227,7 @@
     async def _on_condition_failed(
         self, key: str, changes: list[_Change], error: ConditionFailedError
     ) -> list[_Change]:
-        """Fail the changes that may not be made any more; the others, to be tried again."""
+        """Fails the changes that may no longer be made; returns the others, to be retried."""
         remaining: list[_Change] = []
         for change in changes:
             if change.claim_key in error.failed:
@@ -239,7 +241,7 @@
         return remaining
 
     async def _read_until_answered(self, key: str, wanted: Callable[[], bool]) -> None:
-        """Apply a group that exists to the model, as soon as it can be read."""
+        """Reads a group, retrying while it is wanted, and applies it to the model if it exists."""
         failures = 0
         while wanted():
             try:
@@ -254,14 +256,14 @@
             return
 
     async def _read(self, key: str) -> None:
-        """Read a group again that another controller has written, or a write of this one whose
-        response was lost."""
+        """Reads a group again that was changed by another controller, or by a write of this one
+        whose response was lost."""
         try:
             entry = await self._state.get(key)
         except StateUnavailableError:
             entry = None
         if entry is None:
-            # Deleted, or not available now: the state watcher will bring it.
+            # Deleted, or not available now: the state watcher will receive the change.
             await asyncio.sleep(READ_RETRY_S)
             return
         with self._model.lock:
@@ -269,7 +271,7 @@
 
 
 def _edit_rows(rows: dict[str, wire.StoredMachine], change: _Change) -> None:
-    """Apply a change to the rows of its group, as far as its machines are still there."""
+    """Applies a change to those of its machines that are still in the group."""
     for name in change.names & rows.keys():
         row = change.edit(rows[name])
         if row is None:
--- a/badgerseam/store/page_entries.py
+++ b/badgerseam/store/page_entries.py
@@ -1,4 +1,4 @@
-"""Entries of task log pages: their sizes, and how they are cut and merged to fill pages."""
+"""Entries of task log pages: their sizes, and how they are split and merged to fill pages."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from badgerseam.wire import state as wire
 
 FILL_FRACTION = 0.95
-"""Part of a value's maximum size that a page uses."""
+"""Fraction of a value's maximum size that a page uses."""
 MAX_NOTES_BYTES = 1024
-"""Of the notes in one part of an entry."""
+"""Size of the notes at which a part of an entry is complete."""
 MAX_PART_ROWS = 64
-"""Rows, or notes, in one part of an entry."""
+"""Maximum number of rows, or of notes, in one part of an entry."""
 
 
 def page_capacity(model: Model) -> int:
-    """How many bytes of entries a page holds."""
+    """Returns how many bytes of entries a page may contain."""
     return int(model.settings.params.state.value_kb * 1024 * FILL_FRACTION)
 
 
 def entry_size(entry: wire.JobRows) -> int:
-    """The bytes that an entry takes in a page, its separator included."""
+    """Returns the size of an entry in a page in bytes, including its separator."""
     return len(wire.encode(entry)) + 1
 
 
 def split_entry(entry: wire.JobRows) -> list[wire.JobRows]:
-    """An entry in parts, each of them much smaller than a page."""
+    """Splits an entry into parts that are each much smaller than a page."""
     parts = [
         wire.JobRows(entry.job, [], entry.rows[first : first + MAX_PART_ROWS])
         for first in range(0, len(entry.rows), MAX_PART_ROWS)
@@ -38,7 +38,8 @@
 
 
 def _split_notes(notes: list[wire.Note]) -> Iterator[list[wire.Note]]:
-    """Notes are of very different sizes: one on a move names machines, some hundred bytes."""
+    """Splits notes by size and number, since their sizes differ: a note on a move contains machine
+    names and takes some hundred bytes."""
     part: list[wire.Note] = []
     size = 0
     for note in notes:
@@ -54,9 +55,9 @@
 def fill_page(
     content: dict[str, wire.JobRows], size: int, queue: deque[wire.JobRows], capacity: int
 ) -> None:
-    """Move entries from the queue into a page's content, which has this size, until it is full.
+    """Moves entries from the queue into a page's content, which has this size, until it is full.
 
-    An empty page takes one entry, whatever its size.
+    An empty page takes at least one entry, regardless of its size.
     """
     while queue and (size + entry_size(queue[0]) <= capacity or not content):
         entry = queue.popleft()
--- a/badgerseam/store/page_rewriter.py
+++ b/badgerseam/store/page_rewriter.py
@@ -1,4 +1,4 @@
-"""Rewriting of pages into which nothing else is written, behind everything urgent."""
+"""Background rewriting, at a low urgency, of pages that receive no new entries."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PageRewriter:
-    """Goes round the pages of owned shards and writes those again for which it is worthwhile."""
+    """Scans the pages of owned shards in turn and rewrites those that are due."""
 
     def __init__(
         self,
@@ -22,21 +22,20 @@
         is_due: Callable[[Page], bool],
         max_scanned: int = 1,
     ) -> None:
-        """`is_due`: whether a page is to be written again; `max_scanned`: pages of a shard that are
-        examined each time, until one is due."""
+        """`is_due`: whether a page should be rewritten; `max_scanned`: maximum number of pages of a
+        shard that are examined per review, until one is due."""
         self._model = model
         self._ledger = ledger
         self._committer = committer
         self._is_due = is_due
         self._max_scanned = max_scanned
         self._last_scanned: dict[int, int] = {}
-        """The number of the page that was examined last, by shard."""
+        """The number of the page that was examined last, by shard index."""
         self.written = 0
-        """Pages whose writing was started."""
+        """Number of rewrites that were started."""
 
     def review(self) -> None:
-        """Write at most one page of each shard again; called about once a second, with the lock
-        held."""
+        """Rewrites at most one page per shard; called about once a second with the lock held."""
         for shard in self._model.shards:
             is_idle = shard.owned and not shard.committing and not shard.planned
             if is_idle and self._committer.wait_s(Urgency.UPKEEP) <= 0:
--- a/badgerseam/store/proposal.py
+++ b/badgerseam/store/proposal.py
@@ -1,4 +1,4 @@
-"""Proposals of writes, as they wait for a group commit."""
+"""Proposals: writes with conditions that wait for a group commit."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
     Urgency.UPKEEP: 0.4,
     Urgency.MIGRATE: 0.5,
 }
-"""Fraction of the write budget's burst that proposals of an urgency leave to more urgent ones."""
+"""Fraction of the write budget's burst that each urgency leaves to more urgent proposals."""
 
 
 class ProposalRejectedError(StateUnavailableError):
-    """The state service calls the proposal malformed: it was not executed, and never will be."""
+    """The state service rejected the proposal as malformed: it was not and will not be executed."""
 
 
 class ProposalDroppedError(BadgerseamError):
-    """The proposal was no longer wanted before it was known to be committed."""
+    """The proposal was dropped as no longer wanted; an earlier attempt may have been committed."""
 
     def __init__(self, keys: Iterable[str]) -> None:
         super().__init__(f"proposal no longer wanted: {', '.join(sorted(keys))}")
@@ -47,29 +47,30 @@
 
 @dataclass(slots=True, eq=False)
 class Proposal:
-    """Writes that are committed together, on conditions."""
+    """Writes that are committed together if all conditions hold."""
 
     urgency: Urgency
     conditions: dict[str, int]
-    """The version that each key must have; 0: the key must not exist."""
+    """The version that each key must have; 0 if the key must not exist."""
     writes: list[Write]
     future: asyncio.Future[int]
     """Resolves to the revision of the commit."""
     proposed_at: float
     deadline: float | None = None
-    """After this time the proposal fails instead of being sent."""
+    """Time after which the proposal fails instead of being sent."""
     wanted: Callable[[], bool] | None = None
-    """Asked before each sending; the proposal is dropped if it says no."""
+    """Called before each attempt to send; the proposal is dropped if it returns False."""
     priority_class: int = 0
     """Order among proposals of the same urgency; lower values go first."""
     promoted_at: float | None = None
-    """When the proposal becomes as urgent as a placement."""
+    """Time at which the proposal becomes as urgent as a placement; None: never."""
     is_sent: bool = False
-    """It is in a transaction that was sent and has not failed as a whole."""
+    """Whether it is in a transaction that was sent and has not been queued again since."""
     must_be_alone: bool = False
-    """It was in a transaction called malformed; sent by itself, it tells whether it is at fault."""
+    """Whether it must be sent alone, since a transaction that contained it was rejected as
+    malformed: sent alone, the response shows whether this proposal is the malformed one."""
     size_bytes: int = field(init=False)
-    """Of a transaction that holds only this proposal."""
+    """Encoded size of a transaction that contains only this proposal."""
     keys: frozenset[str] = field(init=False)
     """The keys that are written."""
 
@@ -84,6 +85,6 @@
         return any(write.lease for write in self.writes)
 
     def fail(self, error: Exception) -> None:
-        """Hand an error to the proposer, unless it has given up."""
+        """Raises the error in the caller of `commit`, unless the future is already done."""
         if not self.future.done():
             self.future.set_exception(error)
--- a/badgerseam/store/stale_pages.py
+++ b/badgerseam/store/stale_pages.py
@@ -1,9 +1,9 @@
 """Rewriting of pages whose rows show attempts that have ended and were not placed again.
 
-A row is written when a task is placed, and again whenever its page is written. Only then does a
-controller that does not own the shard learn of an attempt that ended without being done. On a quiet
-site that was never: the leader rented nothing for tasks that had been evicted or had failed, and
-did not delete machines that cancelled tasks seemed to occupy.
+A row is written when a task is placed, and again whenever its page is written. Only these writes
+show other controllers that an attempt has ended without completing its task. On an idle site there
+are no such writes, so without this module the leader rents no machines for tasks that were evicted
+or failed, and does not delete machines that cancelled tasks still seem to occupy.
 """
 
 from __future__ import annotations
@@ -16,28 +16,29 @@
 from badgerseam.store.page_rewriter import PageRewriter
 
 MAX_PAGES_SCANNED = 8
-"""Pages of a shard that are examined at a time."""
+"""Maximum number of pages of a shard that are examined per review."""
 
 
 def stale_page_rewriter(model: Model, ledger: Ledger, committer: GroupCommitter) -> PageRewriter:
-    """A rewriter of the pages that are stale."""
+    """Creates a rewriter of stale pages."""
     return PageRewriter(
         model, ledger, committer, lambda page: is_stale(model, page), MAX_PAGES_SCANNED
     )
 
 
 def is_stale(model: Model, page: Page) -> bool:
-    """Whether a page places a task that is on no machine, and may be started or is cancelled."""
+    """Whether a page shows a task on a machine that is on none, and may start or is cancelled."""
     now = model.clock.now()
     for entry in page.jobs.values():
         job = model.job(entry.job)
         if job is None:
-            # Ended, with nothing left. If it is done, so is the task of every row.
+            # The job has ended and was removed from the model. If it is done, the tasks of all rows
+            # are done as well, and the page is not stale.
             ended = model.ended.get(entry.job)
             if ended is not None and ended[0] == Phase.CANCELLED and entry.rows:
                 return True
             continue
-        # No machine is to be rented for what its owner does not start now.
+        # Tasks that the owner does not start now need no machine, so their rows may stay.
         if job.phase == Phase.OPEN and (job.is_failing or now < job.retry_at or not job.waiting()):
             continue
         for row in entry.rows:
--- a/badgerseam/store/state_watcher.py
+++ b/badgerseam/store/state_watcher.py
@@ -1,4 +1,4 @@
-"""The state watcher: loads everything below our prefix and follows the changes of it."""
+"""The state watcher: loads all keys under the program's prefix and follows their changes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 log = logging.getLogger("badgerseam.store")
 
 WATCH_WAIT_S = 1.0
-"""How long a watch request waits for a change: a response, with changes or none, tells that what is
-known is no older than that."""
+"""How long a watch request waits for a change. A response, even without changes, shows that the
+model is at most this much out of date."""
 
 
 class UndecodableRecordError(BadgerseamError):
-    """A record has no form that this program knows, although it supports the site's level."""
+    """A record cannot be decoded, although the program supports the site's level."""
 
     def __init__(self, key: str, reason: str) -> None:
         super().__init__(f"{key}: {reason}")
@@ -31,7 +31,7 @@
 
 
 class _Snapshot(NamedTuple):
-    """All keys that were loaded, and the revision from which to follow."""
+    """The keys that were loaded, and the revision from which to follow changes."""
 
     revision: int
     keys: set[str]
@@ -40,32 +40,31 @@
 class StateWatcher:
     """Loads the model at the start and then applies every change in order.
 
-    At a site whose level the program does not support, nothing but the level's record is read:
-    other records may have forms that it would misunderstand, and an older program has ended at such
-    a one before.
+    If the program does not support the site's level, only the level's record is read: other records
+    may have formats that the program misinterprets; such a record once crashed an older program.
     """
 
     def __init__(
         self,
         model: Model,
         state: StateClient,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         on_level_support: Callable[[bool], None] = lambda _is_supported: None,
     ) -> None:
-        """`changed`: called after the model has changed; `on_level_support`: called with False when
-        the site's level ceases to be supported, and with True when it is again."""
+        """`on_change`: called after the model has changed; `on_level_support`: called with False
+        when the site's level is no longer supported, and with True when it is supported again."""
         self._model = model
         self._state = state
-        self._changed = changed
+        self._on_change = on_change
         self._on_level_support = on_level_support
         self._is_inactive = False
-        """The site's level is not supported."""
+        """Whether the watcher has stopped because the site's level is not supported."""
         self._is_loaded = False
         self._failures = 0
-        """Requests in a row that failed, since changes were last received."""
+        """Consecutive failed requests since changes were last received."""
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Loads the model and follows the changes until cancelled."""
         while True:
             try:
                 await self._step()
@@ -78,14 +77,14 @@
                 await self._state.back_off(self._failures)
 
     async def _step(self) -> None:
-        """Wait for a supported level, or load if that is due and receive changes once."""
+        """Waits for a supported level, or loads the model if needed and receives changes once."""
         if self._is_inactive:
             await self._wait_until_supported()
             self._is_loaded = False
             return
         if not self._is_loaded:
             self._is_loaded = await self._load()
-            self._changed()
+            self._on_change()
             if not self._is_loaded:
                 return
         await self._follow()
@@ -93,12 +92,12 @@
     async def _follow(self) -> None:
         model = self._model
         requested_at = model.clock.now()
-        # After a failure, that nothing has changed is to be known at once.
+        # After a failure the response is requested at once, as it shows that the model is current.
         wait_s = 0.0 if self._failures else WATCH_WAIT_S
         changes = await self._state.follow(PREFIX, model.revision, wait_s)
         self._failures = 0
         self._apply(changes, requested_at)
-        self._changed()
+        self._on_change()
 
     def _apply(self, changes: wire.Changes, requested_at: float) -> None:
         model = self._model
@@ -109,7 +108,7 @@
                 elif event.delete is not None:
                     model.apply(event.delete, None, event.version)
                 if not model.is_supported:
-                    # What comes after it may have a form that this program does not know.
+                    # The changes after it may have formats that the program does not know.
                     self._deactivate()
                     return
             model.advance(changes.revision)
@@ -118,7 +117,7 @@
     # ---- the site's level ----
 
     def _deactivate(self) -> None:
-        """Stop taking part, since the site's level is not supported; with the lock held."""
+        """Stops participating because the site's level is not supported; with the lock held."""
         model = self._model
         level = model.level.level
         remedy = (
@@ -134,12 +133,12 @@
             "badgerseam rollout status",
         )
         self._is_inactive = True
-        # Called while the model still shows what is owned and has to be given up.
+        # Called before the model is unloaded: it still shows the shards that must be given up.
         self._on_level_support(False)
         model.loaded = False
 
     async def _read_level(self) -> int:
-        """Make the model's level what the state service has now; the revision of that."""
+        """Reads the site's level into the model; returns the revision at which it was read."""
         model = self._model
         page = await self._state.page(LEVEL_KEY, None)
         with model.lock:
@@ -147,12 +146,13 @@
                 entry = page.items[0]
                 model.apply(LEVEL_KEY, entry.value, entry.version)
             elif model.level.version:
-                # Lowered to the level without a record while it was not followed.
+                # The level was lowered to the first one, which has no record, while changes were
+                # not followed.
                 model.apply(LEVEL_KEY, None, model.versions.get(LEVEL_KEY, 0) + 1)
         return page.revision
 
     async def _wait_until_supported(self) -> None:
-        """Read the level; if it is not supported yet, wait once for a change of it."""
+        """Reads the level; if it is not supported, waits once for it to change."""
         model = self._model
         revision = await self._read_level()
         if not model.is_supported:
@@ -165,9 +165,9 @@
     # ---- loading ----
 
     async def _load(self) -> bool:
-        """Read all keys; False if the program does not support the site's level."""
+        """Reads all keys; False if the program does not support the site's level."""
         model = self._model
-        # Before all else: records of a level that is not supported must not be decoded.
+        # The level is read first: records of an unsupported level must not be decoded.
         await self._read_level()
         with model.lock:
             if not model.is_supported:
@@ -177,7 +177,7 @@
         try:
             snapshot = await self._read_all_keys()
         except UndecodableRecordError:
-            # The level was raised while keys were read; if not, there is no way to go on.
+            # Either the level was raised during the load, or the record is invalid.
             await self._read_level()
             with model.lock:
                 if model.is_supported:
@@ -193,10 +193,10 @@
         return True
 
     async def _read_all_keys(self) -> _Snapshot:
-        """Apply every key of the state service to the model."""
+        """Reads every key under the prefix and applies it to the model."""
         page = await self._read_page(None)
-        # Pages are read one after the other; following from the first one's revision brings
-        # whatever changed behind it.
+        # Keys may change between the reads of two pages; following from the first page's revision
+        # delivers those changes.
         revision = page.revision
         keys: set[str] = set()
         while True:
@@ -216,8 +216,11 @@
                     raise UndecodableRecordError(entry.key, str(error)) from error
 
     async def _read_page(self, after: str | None) -> wire.KeyPage:
-        """One page, requested until it comes: a load that began anew at each refusal would never
-        have read a hundred pages where one request in twenty is refused."""
+        """Reads one page, and retries until it succeeds.
+
+        If the whole load were restarted at each refusal, a load of a hundred pages would never
+        complete where one request in twenty is refused.
+        """
         failures = 0
         while True:
             try:
--- a/badgerseam/store/task_log.py
+++ b/badgerseam/store/task_log.py
@@ -1,8 +1,8 @@
-"""The task log: a shard's tasks in pages, many jobs to a key, compacted as it is written.
+"""The task log: the tasks of a shard, stored in pages and compacted as it is written.
 
-Each transaction writes all that has changed since the last one, whichever jobs it belongs to, into
-the page that was written longest ago, together with the entries of that page that still count. So a
-burst takes one write, and nothing is ever deleted.
+A page is one key and holds entries of many jobs. Each transaction writes all changes since the last
+one, of any job, into the page that was written least recently, together with the entries of that
+page that are still live. A burst of changes thus needs a single write, and no key is ever deleted.
 """
 
 from __future__ import annotations
@@ -21,40 +21,40 @@
 from badgerseam.wire import state as wire
 
 MAX_OLD_PAGES_BYTES = 40 * 1024
-"""Of the old pages in a transaction together; a transaction may have 64 KiB."""
+"""Maximum total size of the old pages in a transaction; the limit of a transaction is 64 KiB."""
 MAX_NEW_BYTES = 12 * 1024
-"""Of what is new in a transaction."""
+"""Maximum size of the new entries in a transaction."""
 MAX_OLD_PAGES = 3
-"""Old pages that are tried before a new one is begun."""
+"""Number of old pages that are tried before a new one is created."""
 NEW_BYTES_PER_VALUE_KB = 512
-"""Of each value in a transaction, half is left to entries that are there already."""
+"""New bytes per KiB of a value: half of each value is left to entries that are already there."""
 REPLICA_NOTE_BYTES = 64
-"""About what a replica's note takes beside its members' rows."""
+"""Approximate size of a replica's note, which is stored in addition to its members' rows."""
 ROW_BYTES = 16
-"""About what a row takes beside its machine's name."""
+"""Approximate size of a row without its machine's name."""
 
 
 @dataclass(slots=True)
 class PageTransaction:
-    """One transaction on the pages of a shard."""
+    """A transaction on the pages of a shard."""
 
     conditions: dict[str, int]
-    """The version that each key must have; 0: the key must not exist."""
+    """The version that each key must have; 0 if the key must not exist."""
     pages: dict[int, dict[str, wire.JobRows]] = field(default_factory=dict)
-    """The new content of pages: entries by job."""
+    """The new content of pages by number: entries by job."""
     planned: list[Attempt] = field(default_factory=list)
-    """Attempts that are made durable."""
+    """Planned attempts whose rows are written."""
     finished: list[Attempt] = field(default_factory=list)
-    """Attempts whose completion is made durable."""
+    """Attempts whose completion is written."""
     done_chunks: list[tuple[Job, int]] = field(default_factory=list)
-    """Jobs and those of their chunks whose finished tasks are written."""
+    """Chunks of jobs whose sets of finished tasks are written."""
     notes: list[tuple[Job, NoteKey]] = field(default_factory=list)
-    """Jobs and those of their notes that are written."""
+    """Notes of jobs that are written."""
     replicas: set[tuple[str, int]] = field(default_factory=set)
-    """Jobs and replicas all of whose planned members are written."""
+    """Replicas (job and number) whose planned members are all written."""
 
     def values(self, shard: Shard) -> dict[str, list[wire.JobRows]]:
-        """What is written, by key."""
+        """Returns the values to be written, by key."""
         return {
             page_key(shard.index, number): list(entries.values())
             for number, entries in self.pages.items()
@@ -62,15 +62,16 @@
 
 
 def compose_refresh(model: Model, shard: Shard, number: int) -> PageTransaction | None:
-    """A transaction that writes one page again with what is now known of its tasks.
+    """Builds a transaction that rewrites one page with the current state of its tasks.
 
-    None if that does not fit into the page, since its rows have grown.
+    None if that no longer fits into the page because its rows have grown.
     """
     transaction = _begin(model, shard)
     page = model.pages[shard.index][number]
     content = live_entries(model, page, number, Superseded())
-    # Filled without starts, a page may go beyond what a value may have with them: the state
-    # service refused such a transaction for ever, and all that waited behind it.
+    # A page that was filled without attempt starts may exceed the maximum size of a value with
+    # them. The state service would reject that transaction at every retry, and the shard's other
+    # writes would be blocked behind it.
     if sum(map(entry_size, content.values())) > page_capacity(model):
         return None
     transaction.pages[number] = content
@@ -79,7 +80,7 @@
 
 
 def compose_transaction(model: Model, shard: Shard) -> PageTransaction:
-    """A transaction with what is to be made durable, as much as fits; the rest stays due."""
+    """Builds a transaction with as many due changes as fit; the rest stays due."""
     composer = _TransactionComposer(model, shard)
     composer.add_planned_attempts()
     composer.add_completions()
@@ -89,8 +90,8 @@
 
 
 def _begin(model: Model, shard: Shard) -> PageTransaction:
-    # The form of rows depends on the site's level: a transaction of a process that slept while the
-    # level was raised, or one that is applied minutes late, must fail.
+    # The format of rows depends on the site's level. If the process was suspended while the level
+    # was raised, or the transaction is applied minutes late, the condition on the level fails it.
     return PageTransaction({claim_key(shard.index): shard.term, LEVEL_KEY: model.level.version})
 
 
@@ -99,7 +100,7 @@
 
 
 class _TransactionComposer:
-    """Moves what is due from a shard's lists into one transaction."""
+    """Moves the due changes of a shard into one transaction."""
 
     def __init__(self, model: Model, shard: Shard) -> None:
         params = model.settings.params.state
@@ -112,13 +113,13 @@
             MAX_NEW_BYTES, new_values * int(NEW_BYTES_PER_VALUE_KB * params.value_kb)
         )
         self._entries: dict[str, wire.JobRows] = {}
-        """Rows and bits of finished tasks, by job."""
+        """Entries with rows and finished tasks, by job."""
         self._note_entries: list[wire.JobRows] = []
 
     # ---- planned attempts ----
 
     def add_planned_attempts(self) -> None:
-        """Add the rows of planned attempts; those that do not fit stay in the shard's list."""
+        """Adds the rows of planned attempts; those that do not fit stay in the shard's list."""
         shard = self._shard
         self._sort_by_priority(shard.planned)
         members = _ReplicaMembers(shard.planned, self.transaction, self._free_bytes)
@@ -135,7 +136,8 @@
     def _sort_by_priority(self, planned: list[Attempt]) -> None:
         model = self._model
         if model.class_of is not None:
-            # More may be planned than a transaction holds: of a rank, a lower class waits.
+            # Not all attempts may fit into the transaction: within a rank, those of the first
+            # priority classes are written first.
             planned.sort(key=lambda attempt: (-attempt.job.rank, model.priority_class(attempt.job)))
 
     def _admits(self, attempt: Attempt, members: _ReplicaMembers) -> bool:
@@ -158,7 +160,7 @@
     # ---- finished tasks ----
 
     def add_completions(self) -> None:
-        """Add the bits of finished tasks, job by job until no bytes are free."""
+        """Adds the sets of finished tasks, job by job until no bytes are free."""
         due = self._shard.completions_due
         for index in list(due):
             job = self._model.jobs[index]
@@ -183,14 +185,14 @@
     # ---- notes ----
 
     def add_notes(self) -> None:
-        """Add the notes that are due, as far as they fit beside the rest; others wait."""
+        """Adds the notes that are due, as far as they still fit; the others stay due."""
         if not self._model.is_active(Behaviour.NOTES):
             return
         shard, model = self._shard, self._model
         shard.notes_due.update(shard.notes_deferred)
         shard.notes_deferred.clear()
-        # The notes of replicas that are placed now are added even if no bytes are free, so that
-        # each is durable in one transaction with its members.
+        # Notes of replicas that are placed by this transaction are added even if no bytes are free,
+        # so that a replica's note and its members become durable together.
         replicated = {
             job.index
             for name, _ in self.transaction.replicas
@@ -223,7 +225,7 @@
     # ---- pages ----
 
     def fill_pages(self) -> None:
-        """Put the entries into as few pages as will do, old ones first."""
+        """Distributes the entries to as few pages as possible, old pages first."""
         entries = [*self._entries.values(), *self._note_entries]
         queue = deque(part for entry in entries for part in split_entry(entry))
         self._fill_old_pages(queue)
@@ -235,7 +237,7 @@
             self.transaction.conditions[page_key(self._shard.index, number)] = version
 
     def _fill_old_pages(self, queue: deque[wire.JobRows]) -> None:
-        """Write the pages that were written longest ago again, where there is space in them."""
+        """Fills the least recently written pages, if they have free space."""
         capacity = page_capacity(self._model)
         pages = self._model.pages[self._shard.index]
         oldest_first = sorted(pages, key=lambda number: pages[number].version)
@@ -274,10 +276,10 @@
 
 
 class _ReplicaMembers:
-    """Sees that the members of a replica go into one transaction, or wait for the next one.
+    """Decides which replicas are part of a transaction: a replica's members are written together.
 
-    A replica that is larger than any transaction goes into several: its members are launched only
-    when all of them are durable (`Attempt.held_back`).
+    A replica that is too large for one transaction is written in several; its members are launched
+    only when all of them are durable (`Attempt.held_back`).
     """
 
     def __init__(
@@ -296,7 +298,7 @@
     def admits(
         self, attempt: Attempt, replica_index: int, free_bytes: int, has_max_jobs: bool
     ) -> bool:
-        """Whether a member goes into the transaction, which has so many bytes free."""
+        """Whether a member is added to the transaction, which has this many bytes free."""
         key = (attempt.job.id, replica_index)
         if key not in self._is_admitted:
             is_admitted = self._fits(key, free_bytes) and not has_max_jobs
--- a/badgerseam/store/task_log_writer.py
+++ b/badgerseam/store/task_log_writer.py
@@ -1,4 +1,4 @@
-"""Writing the task log of owned shards: placements, finished tasks and notes."""
+"""Writes the task logs of owned shards: placements, finished tasks and notes."""
 
 from __future__ import annotations
 
@@ -25,37 +25,38 @@
 log = logging.getLogger("badgerseam.store")
 
 REFRESH_DEADLINE_S = 1.0
-"""A refreshed page keeps the shard from writing anything else: it is given up if it has to wait."""
+"""A page refresh is abandoned after this time, since it blocks all other writes of the shard."""
 READ_RETRY_S = 0.2
-"""Pause after the site's level could not be read; the state watcher may bring it meanwhile."""
+"""Seconds to wait after the site's level could not be read; the state watcher may receive it in the
+meantime."""
 
 
 class TaskLogWriter:
-    """Writes the pages of owned shards, one transaction of a shard at a time."""
+    """Writes the pages of owned shards, one transaction per shard at a time."""
 
     def __init__(
         self,
         model: Model,
         state: StateClient,
         committer: GroupCommitter,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         resign: Callable[[Shard], None],
     ) -> None:
-        """`changed`: called after the model has changed; `resign`: gives up a shard, with the lock
-        held."""
+        """`on_change`: called after the model has changed; `resign`: gives up a shard, called with
+        the lock held."""
         self._model = model
         self._state = state
         self._committer = committer
-        self._changed = changed
+        self._on_change = on_change
         self._resign = resign
         self._tasks = BackgroundTasks()
         self._timer: asyncio.TimerHandle | None = None
 
     def flush(self, shard: Shard, now: float) -> None:
-        """Write the shard's tasks, if there is anything to write and the budget allows it now.
+        """Writes the shard's changes if there are any and the write budget allows it now.
 
-        What has to wait is not queued: it goes with all that has gathered by then. The lock is
-        held.
+        If the budget does not allow it, nothing is queued: a later transaction contains all changes
+        up to then. Called with the lock held.
         """
         if not self._has_writes_due(shard, now):
             return
@@ -71,9 +72,9 @@
             self._start(shard, transaction, urgency)
 
     def refresh(self, shard: Shard, number: int) -> bool:
-        """Write one page anew in the level's form, behind everything urgent.
+        """Rewrites one page in the format of the site's level, with a low urgency.
 
-        False if the shard is busy with another write, or the page has no space for the form.
+        False if the shard has another write in progress, or the new content does not fit the page.
         """
         if shard.committing or not shard.owned or not self._model.is_supported:
             return False
@@ -92,7 +93,7 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self._changed()
+        self._on_change()
 
     def _start(
         self,
@@ -137,7 +138,7 @@
             self._on_written(shard, transaction, revision, term)
         finally:
             shard.committing = False
-            self._changed()
+            self._on_change()
 
     # ---- after a commit ----
 
@@ -160,7 +161,7 @@
                     model.settle(job)
 
     def _record_page(self, shard: Shard, number: int, page: Page) -> None:
-        """Take a page that was written over into the model."""
+        """Updates the model with a page that was written."""
         model = self._model
         model.pages[shard.index][number] = page
         key = page_key(shard.index, number)
@@ -176,7 +177,7 @@
                     job.notes_page[note_key] = number
 
     def _record_placement(self, attempt: Attempt) -> None:
-        """An attempt is durable: it may be launched."""
+        """Marks an attempt as placed: it is durable now and may be launched."""
         if not _is_current(attempt):
             return
         model = self._model
@@ -196,8 +197,11 @@
         error: ConditionFailedError,
         term: int,
     ) -> None:
-        """Find out whether an earlier sending was applied; if not, take the plan back where a job
-        has changed, and try again with the rest."""
+        """Handles a refused transaction.
+
+        If an earlier attempt to send it was applied, it is recorded as written. Otherwise the
+        planned attempts of jobs whose records have changed are undone, and the rest is due again.
+        """
         if claim_key(shard.index) in error.failed:
             with self._model.lock:
                 if _is_owned(shard, term):
@@ -208,8 +212,9 @@
             await self._read_level()
         numbers = {page_key(shard.index, number): number for number in transaction.pages}
         job_keys = {key for key in error.failed if key != LEVEL_KEY and key not in numbers}
-        # Jobs first: where the transaction was written, tasks of one were launched that others had
-        # confirmed as cancelled since.
+        # Jobs are read before pages: if the transaction turns out to be written, its tasks are
+        # launched, which must not happen for a job whose cancellation another controller has
+        # confirmed since.
         for key in [*sorted(job_keys), *(key for key in error.failed if key in numbers)]:
             entry = await self._read_until_answered(key, shard, term)
             if not _is_owned(shard, term):
@@ -230,15 +235,15 @@
     ) -> None:
         with self._model.lock:
             if entry is not None:
-                # Of a page: the claim's condition did not fail, so that nobody else wrote for the
-                # shard. It is a refresh that was given up and came late, and says nothing new; the
-                # shard was once given up for it.
+                # If it is a page: the claim's condition held, so no other controller has written
+                # it. It was written by a refresh that timed out and was applied late, and contains
+                # nothing new. An earlier version gave up the shard in this case.
                 self._model.apply(key, entry.value, entry.version)
             elif is_page:
                 self._resign(shard)
 
     async def _read_until_answered(self, key: str, shard: Shard, term: int) -> wire.Entry | None:
-        """A key's entry, requested until there is a response, as long as the shard is owned."""
+        """Reads a key, and retries until there is a response or the shard is no longer owned."""
         failures = 0
         while _is_owned(shard, term):
             try:
@@ -249,7 +254,7 @@
         return None
 
     async def _read_level(self) -> None:
-        """The site's level has changed under a write: it is composed again in the form of now."""
+        """Reads the level after a write failed on it, so that the retry uses the current format."""
         try:
             entry = await self._state.get(LEVEL_KEY)
         except StateUnavailableError:
@@ -263,8 +268,8 @@
     def _undo(
         self, shard: Shard, transaction: PageTransaction, job_ids: set[str], term: int
     ) -> None:
-        """Nothing was written: the planned attempts of these jobs are given up, and the rest is
-        due again."""
+        """Reverts a transaction that was not written: undoes the planned attempts of these jobs,
+        and makes the rest due again."""
         model = self._model
         with model.lock:
             if not _is_owned(shard, term):
@@ -287,7 +292,7 @@
 
 
 def _is_owned(shard: Shard, term: int) -> bool:
-    """Whether the shard is still owned under the claim of that term."""
+    """Whether the shard is still owned under the claim with this term."""
     return shard.owned and shard.term == term
 
 
--- a/badgerseam/store/transaction_batch.py
+++ b/badgerseam/store/transaction_batch.py
@@ -1,4 +1,4 @@
-"""Proposals that are sent as one transaction."""
+"""A batch of proposals that is sent as one transaction."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 from badgerseam.wire.state import Condition, Write
 
 MAX_TRANSACTION_BYTES = 56 * 1024
-"""Below the 64 KiB of the state service, since the proposals' sizes are only summed up."""
+"""Less than the state service's limit of 64 KiB, since the size is estimated as the sum of the
+proposals' sizes."""
 MAX_CONDITIONS_PER_WRITE = 4
-"""Conditions of a transaction, as a multiple of its maximum number of writes."""
+"""Maximum number of conditions of a transaction, per write that it may contain."""
 
 
 class TransactionBatch:
@@ -23,7 +24,7 @@
         self._size_bytes = 0
 
     def fits(self, proposal: Proposal) -> bool:
-        """Whether the proposal may join the ones that are in the batch."""
+        """Whether the proposal may be added to the batch."""
         return (
             self._has_capacity_for(proposal)
             and self._agrees_with(proposal)
@@ -31,7 +32,7 @@
         )
 
     def add(self, proposal: Proposal) -> None:
-        """Add a proposal that fits."""
+        """Adds a proposal that fits."""
         self.proposals.append(proposal)
         self._conditions |= proposal.conditions
         self._keys |= proposal.keys
@@ -39,11 +40,11 @@
         self._size_bytes += proposal.size_bytes
 
     def conditions(self) -> list[Condition]:
-        """The conditions of all proposals, each key once."""
+        """Returns the conditions of all proposals, with each key once."""
         return [Condition(key, version) for key, version in self._conditions.items()]
 
     def writes(self) -> list[Write]:
-        """The writes of all proposals, in order."""
+        """Returns the writes of all proposals, in order."""
         return [write for proposal in self.proposals for write in proposal.writes]
 
     def _has_capacity_for(self, proposal: Proposal) -> bool:
@@ -55,7 +56,7 @@
         )
 
     def _agrees_with(self, proposal: Proposal) -> bool:
-        """Whether no key is written twice, or expected at two versions."""
+        """Whether the proposal writes no key of the batch and expects no other version of a key."""
         return not self._keys & proposal.keys and all(
             self._conditions.get(key, version) == version
             for key, version in proposal.conditions.items()
@@ -64,5 +65,5 @@
     def _must_be_separate(self, proposal: Proposal) -> bool:
         if not self.proposals:
             return False
-        # A lease that has expired fails the whole transaction, so that no other proposal joins it.
+        # An expired lease fails the whole transaction, so a proposal with a lease is sent alone.
         return proposal.has_lease or proposal.must_be_alone or self.proposals[0].must_be_alone
