--- a/badgerseam/wire/__init__.py
+++ b/badgerseam/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages of each protocol: wire names on the outside, the field's terms inside."""
+"""Messages of each protocol. Fields are encoded under the names that the protocol defines."""
--- a/badgerseam/wire/accounting.py
+++ b/badgerseam/wire/accounting.py
@@ -1,4 +1,4 @@
-"""Accounting: stored summaries of jobs and attempts, and the lines that users get of them."""
+"""Accounting: stored summaries of jobs and attempts, and the lines that users receive."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 from badgerseam.wire.users import Submission
 
 CAUSES = ("done", "evicted", "drained", "taken", "lost", "error", "cancelled")
-"""Why attempts ended; the order is that of the counts, and only grows."""
+"""Why attempts ended, in the order of `Usage.causes`; new causes may only be appended."""
 
 
 class Usage(Struct, frozen=True, array_like=True):
-    """Stored with the job. Times of day in seconds since 1970, amounts as in the submission."""
+    """A job's usage summary, stored with the job.
+
+    Times of day are in seconds since 1970, amounts in the units of the submission.
+    """
 
     team: str
     job_class: str
@@ -27,20 +30,21 @@
     ended: float
     attempts: int = 0
     unmeasured: int = 0
-    """Attempts whose times are not known: an earlier owner's, or never seen to run."""
+    """Number of attempts whose times are not known: those of a previous owner, and those that were
+    never observed running."""
     useful_s: float = 0.0
     wasted_s: float = 0.0
     spot_s: float = 0.0
     money: float = 0.0
     causes: list[int] = field(default_factory=list)
     complete: bool = True
-    """False: its owner ended before the summary was written; attempts and times are not known."""
+    """Whether the owner wrote the summary. If it ended before, attempts and times are not known."""
     eligible: float | None = None
-    """When its terms let it start: its submission, if it has none."""
+    """When its terms allowed it to start; the time of submission if it has no terms."""
 
 
 class AttemptRecord(Struct, frozen=True, array_like=True):
-    """The stored record of an attempt that ended. Times of day in seconds since 1970."""
+    """The stored record of an ended attempt. Times of day are in seconds since 1970."""
 
     job: str
     task: int
@@ -53,16 +57,16 @@
     ended: float
     cause: str
     seconds: float | None = None
-    """For how long it ran, if that was observed from its start on."""
+    """How long it ran, if it was observed from its start."""
     money: float = 0.0
     by: str | None = None
     """The job that it was evicted for."""
     cost: float | None = None
-    """Of that eviction, by the paper's equation."""
+    """The cost of that eviction by the paper's equation."""
 
 
 class AttemptLine(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """An attempt that ended, as users get it."""
+    """An ended attempt in the form that users receive."""
 
     id: str
     task: int
@@ -85,13 +89,14 @@
 
     records: int
     attempts: int
-    """As the job's summary counts them; with fewer records, an owner ended before it wrote them."""
+    """Number of attempts in the job's summary. If there are fewer records, an owner ended before it
+    wrote the others."""
     whole: bool
-    """Whether all of the log was read that may have its records."""
+    """Whether the complete part of the log that may contain the records was read."""
 
 
 class AccountingLine(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """A job that has ended."""
+    """The summary of an ended job in the form that users receive."""
 
     id: str
     state: str
@@ -119,7 +124,7 @@
 
 
 class DayTotal(Struct, frozen=True, rename="camel"):
-    """A team's jobs that ended on a day (UTC)."""
+    """Totals of a team's jobs that ended on one day (UTC)."""
 
     day: str
     team: str
@@ -133,7 +138,7 @@
 
 
 def usage_of(spec: Submission, submitted: float, started: float | None, ended: float) -> Usage:
-    """A job's summary before anything is counted."""
+    """Creates a job's summary, with all counts at zero."""
     terms = spec.terms
     return Usage(
         spec.team,
@@ -151,7 +156,7 @@
 
 
 def accounting_line(job_id: str, state: str, tasks: int, usage: Usage) -> AccountingLine:
-    """The line of a stored summary."""
+    """Converts a stored summary to the line that users receive."""
     ends = {cause: count for cause, count in zip(CAUSES, usage.causes, strict=False) if count}
     return AccountingLine(
         job_id,
@@ -181,7 +186,7 @@
 
 
 def attempt_line(record: AttemptRecord) -> AttemptLine:
-    """The line of a stored record."""
+    """Converts a stored record to the line that users receive."""
     return AttemptLine(
         record.job,
         record.task,
--- a/badgerseam/wire/batch.py
+++ b/badgerseam/wire/batch.py
@@ -17,19 +17,19 @@
 
 
 class NumbersResponse(Struct, frozen=True):
-    """Job numbers that were allocated, each of them once."""
+    """Newly allocated job numbers; no number is ever allocated twice."""
 
     numbers: list[int]
 
 
 class NumberLookup(Struct, frozen=True):
-    """The jobs that a number stands for."""
+    """The ids of the jobs that a job number refers to."""
 
     ids: list[str]
 
 
 class Amendment(Struct, frozen=True, forbid_unknown_fields=True, rename="camel"):
-    """Terms to change; what is left out stays. null removes a term."""
+    """Changes to a job's terms: omitted terms stay unchanged, and null removes a term."""
 
     hold: bool | UnsetType = UNSET
     begin_at: Annotated[float, Meta(ge=0, le=1e11)] | None | UnsetType = UNSET
@@ -40,7 +40,7 @@
 
 
 class Details(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """All that is known of a job. Of one that has ended only its final state is stored."""
+    """Details of a job. For an ended job only the final state is available."""
 
     id: str
     phase: str
@@ -61,7 +61,7 @@
     zone: str
     spot: bool
     state: str
-    """allocated, mixed, idle, booting, drained"""
+    """`allocated`, `mixed`, `idle`, `booting` or `drained`."""
     count: int
     cpus: float
     memory_gb: float
--- a/badgerseam/wire/classes.py
+++ b/badgerseam/wire/classes.py
@@ -1,4 +1,4 @@
-"""Priority classes, as operators get and set them."""
+"""Priority classes: the messages with which operators read and set them."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 
 
 class Objection(Struct, frozen=True):
-    """A controller whose options keep the site's classes from being changed, and why."""
+    """A controller whose options prevent a change of the site's classes, and why."""
 
     node: str
     reason: str
 
 
 class ClassesView(Struct, frozen=True):
-    """The answer of `GET /classes`."""
+    """The response to `GET /classes`."""
 
     classes: ClassesOptions | None
-    """As they are in force, in the form of the options; None before the first record."""
+    """The classes in force, in the format of the options; None before the first record."""
     by: str | None
-    """The leader, or the operator's controller, that wrote them."""
+    """The controller that wrote the record: the leader, or the one that an operator sent it to."""
     at: float | None
-    """Time of day of that."""
+    """Time of day at which the record was written."""
     revision: int
-    """Of the record; 0 if there is none."""
+    """Revision of the record; 0 if there is none."""
     digest: str
-    """Of the options of the controller that was asked."""
+    """Digest of the responding controller's options."""
     pending: bool
-    """The options of that controller are not yet those that the record was made from."""
+    """Whether the record does not yet reflect the responding controller's options."""
     objections: list[Objection]
-    """Who disagrees with these options."""
+    """Controllers that disagree with these options."""
     waiting: dict[str, int]
-    """Waiting tasks by class."""
+    """Number of waiting tasks by class."""
     jumps: int
-    """Priority inversions in plans of the controller that was asked, since it started."""
+    """Priority inversions in the responding controller's plans since it started."""
     held: int
-    """Plans of that controller in which capacity was reserved from lower classes."""
+    """Number of the responding controller's plans that withheld capacity from lower classes."""
 
 
 view_decoder: msgspec.json.Decoder[ClassesView] = msgspec.json.Decoder(ClassesView)
--- a/badgerseam/wire/cloud.py
+++ b/badgerseam/wire/cloud.py
@@ -1,6 +1,6 @@
 """The cloud's protocol: machine types, rental requests, lists of machines.
 
-Where the protocol's name of a field differs, the field's docstring gives it.
+If the protocol uses a different name for a field, the field's docstring gives that name.
 """
 
 from __future__ import annotations
@@ -39,9 +39,9 @@
     spot_price: float = 0.0
     """`spotPrice`: price of a spot instance."""
     boot_s: float = 30.0
-    """`bootS`: usual seconds from the rental until the worker is up."""
+    """`bootS`: usual time in seconds from the rental until the worker is up."""
     cache_gb: float = 0.0
-    """`localGb`: local disk for images."""
+    """`localGb`: local disk space for images."""
     fetch_gb_per_s: float = 1.0
     """`fetchGbPerS`: rate at which images are fetched."""
 
@@ -67,7 +67,7 @@
     """A request for machines."""
 
     request: str
-    """`hire`: the unique name of the request, which makes it safe to repeat."""
+    """`hire`: the unique name of the request, which makes it idempotent."""
     type: str
     """`breed`"""
     zone: str
@@ -102,7 +102,7 @@
     id: str
     """The name of the machine."""
     addr: str
-    """`address`: where its worker takes direct commands."""
+    """`address`: the address at which its worker accepts direct commands."""
     type: str
     """`breed`"""
     zone: str
@@ -121,7 +121,7 @@
     machines: list[ListedMachine] = field(default_factory=list)
     """`hosts`"""
     more: bool = False
-    """Whether the list goes on."""
+    """Whether more machines follow."""
 
 
 types_decoder: msgspec.json.Decoder[Types] = msgspec.json.Decoder(Types)
--- a/badgerseam/wire/explain.py
+++ b/badgerseam/wire/explain.py
@@ -1,4 +1,4 @@
-"""Why a job waits: the answers to users, and the questions between controllers."""
+"""Explanations of why a job waits: responses to users, and requests between controllers."""
 
 from __future__ import annotations
 
@@ -47,33 +47,34 @@
     "stopping",
     "no_owner",
 ]
-"""What may hold a task back; docs/explain.md says of each what it means and what changes it."""
+"""The reasons why a task may wait; docs/explain.md describes each one and what resolves it."""
 
 State = Literal["waiting", "recording", "launching", "fetching", "running", "stopping", "done"]
 
 
 class Reason(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """One thing that holds tasks back."""
+    """One reason why tasks wait."""
 
     code: Code
     text: str
-    """A plain statement."""
+    """The description for users."""
     binding: bool = False
-    """One of the fewest things that have to change for a task to start."""
+    """Whether it is part of the smallest set of reasons to resolve before a task can start."""
     machines: int | None = None
-    """Machines that it rules out, whatever else rules them out too."""
+    """Number of machines that it excludes, including those that other reasons exclude as well."""
     since_s: float | None = None
-    """For how many seconds at least it has held without a gap, as far as surveys show it."""
+    """Minimum number of seconds for which it has applied without interruption, according to the
+    surveys."""
     expected_s: float | None = None
-    """In how many seconds it should end, by estimates that are often wrong by half."""
+    """Estimated seconds until it is resolved; the estimates are often wrong by half."""
     change: str | None = None
-    """What would change it."""
+    """What would resolve it."""
     who: list[str] = field(default_factory=list)
-    """Teams, jobs or machines that it is about."""
+    """Teams, jobs or machines that it refers to."""
 
 
 class Group(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """Tasks of a job that are alike."""
+    """Tasks of a job that are in the same state."""
 
     state: State
     tasks: int
@@ -81,7 +82,7 @@
 
 
 class Ahead(Struct, frozen=True, rename="camel"):
-    """The jobs and tasks before the job in the order of the plan."""
+    """The jobs and tasks that are placed before the job."""
 
     jobs: int
     tasks: int
@@ -89,8 +90,8 @@
 
 
 class Transition(Struct, frozen=True, rename="camel"):
-    """Reasons that held a job back, and when they were first and last observed (seconds before the
-    answer)."""
+    """Reasons why a job waited, and how many seconds before the response they were first and last
+    observed."""
 
     first_s: float
     last_s: float
@@ -98,30 +99,30 @@
 
 
 class Explanation(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """Why a job waits, or what it does instead."""
+    """Explains why a job waits, or which state its tasks are in if it does not."""
 
     id: str
     phase: str
     groups: list[Group] = field(default_factory=list)
     ahead: Ahead | None = None
     node: str | None = None
-    """The controller that plans for it, and answers."""
+    """The controller that schedules the job and gave this explanation."""
     revision: int | None = None
-    """Of the state that the answer was made from."""
+    """Revision of the state that the explanation is based on."""
     age_s: float = 0.0
-    """How old the survey is that the answer was made from, in seconds."""
+    """Age in seconds of the survey that the explanation is based on."""
     known_s: float | None = None
-    """For how many seconds this owner has acted for the job; it knows nothing from before."""
+    """Seconds for which this controller has owned the job; it has no information from before."""
     history: list[Transition] = field(default_factory=list)
 
     @property
     def binding(self) -> list[Code]:
-        """The codes that hold the job back, the binding ones."""
+        """Returns the codes of the binding reasons."""
         return [reason.code for group in self.groups for reason in group.reasons if reason.binding]
 
 
 class Question(Struct, frozen=True, rename={"shard": "share"}):
-    """A controller asks the owner of a shard about its jobs."""
+    """A controller's request to the owner of a shard to explain some of its jobs."""
 
     shard: int
     """`share` on the wire."""
@@ -129,32 +130,32 @@
 
 
 class Answers(Struct, frozen=True):
-    """The owner's answers; jobs that it has not read yet are missing."""
+    """The owner's response; jobs that it has not read yet are missing."""
 
     answers: list[Explanation]
 
 
 class Blocked(Struct, frozen=True, rename="camel"):
-    """An offer of the cloud that had no capacity when it was last requested."""
+    """A cloud offer that had no capacity when it was last requested."""
 
     type: str
     zone: str
     spot: bool
     again_s: float
-    """In how many seconds it is requested again."""
+    """Seconds until it is requested again."""
 
 
 class CloudView(Struct, frozen=True, rename="camel"):
-    """What only the leader knows of the cloud."""
+    """Information about the cloud that only the leader has."""
 
     blocked: list[Blocked]
     unreachable_s: float | None = None
-    """For how many seconds the cloud has not answered; None if it does."""
+    """Seconds for which the cloud has not responded; None if it responds."""
     error: str | None = None
 
 
 class QueueLine(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """One job in the list of all open jobs."""
+    """A job in the list of all open jobs."""
 
     id: str
     phase: str
@@ -168,13 +169,13 @@
     age_s: float
     reasons: list[Code] = field(default_factory=list)
     text: str | None = None
-    """The first reason's text; None if it is not known."""
+    """The text of the first reason; None if it is not known."""
     name: str | None = None
     user: str | None = None
     types: list[str] | None = None
     zone: str | None = None
     cpus: float = 0.0
-    """Of each task, as the memory."""
+    """CPUs per task; the memory is per task as well."""
     memory_gb: float = 0.0
     estimate_s: float = 0.0
     submitted_at: float = 0.0
--- a/badgerseam/wire/rollout.py
+++ b/badgerseam/wire/rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts: the state as operators get it, and the requests of a controller that drains."""
+"""Rollouts: the state that operators receive, and the requests of a draining controller."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class TakeoverRequest(Struct, frozen=True):
-    """A controller that drains asks a peer to take over one of its claims."""
+    """A draining controller's request to a peer to take over one of its claims."""
 
     key: str
     version: int
-    """The version of the claim's record: the peer replaces only that one."""
+    """The version of the claim's record; the peer replaces only this version."""
 
 
 class Obstacle(Struct, frozen=True):
-    """What keeps the level from being changed: at which controller, and why."""
+    """A reason that prevents a change of the level, and the controller that it applies to."""
 
     node: str
     reason: str
@@ -24,7 +24,7 @@
 class ControllerView(
     Struct, frozen=True, rename={"min_level": "least", "max_level": "most", "shards": "shares"}
 ):
-    """A configured controller as the one that was asked sees it."""
+    """A configured controller as seen by the responding controller."""
 
     node: str
     state: str
@@ -37,34 +37,36 @@
 
 
 class RefreshProgress(Struct, frozen=True):
-    """How far the state has been carried over to the level's form, in the shares of the controller
-    that was asked."""
+    """Progress of rewriting pages in the level's format, for the responding controller's shards."""
 
     rows: int
-    """Of tasks, in its pages."""
+    """Number of task rows in the pages."""
     lacking: int
-    """Of these, such as have run for a while and are still in the older form."""
+    """Number of these rows that are still in the older format although the attempt has run for a
+    while."""
     pages_written: int
-    """Since it started, for this alone."""
+    """Pages rewritten for this purpose alone since the controller started."""
 
 
 class MigrationProgress(Struct, frozen=True, rename={"migrated": "carried"}):
-    """How far old records have been carried over, as the asked controller knows. Its counts are of
-    what it did itself while it led."""
+    """Progress of the migration of old records, as known to the responding controller.
+
+    The counts cover only what it did itself while it was the leader.
+    """
 
     migrated: int
-    """Up to this level no record is left in an older form."""
+    """Up to this level, no record is left in an older format."""
     pending: list[int]
-    """Levels whose older form is still to be carried over."""
+    """Levels for which records in the older format still have to be migrated."""
     scanned: int
-    """Records examined in the present pass."""
+    """Records examined in the current pass."""
     old: int
-    """Of these, in the older form."""
+    """Number of these records that are in the older format."""
     rewritten: int
     overtaken: int
-    """Left to the next pass, since they had changed meanwhile."""
+    """Records left to the next pass because they changed in the meantime."""
     per_s: float
-    """Records written anew a second, since it started."""
+    """Records rewritten per second since the controller started."""
 
 
 class OwnView(
@@ -72,32 +74,32 @@
     frozen=True,
     rename={"responsive_machines": "heard", "refresh": "refreshing", "migration": "carrying"},
 ):
-    """The controller that was asked, about itself."""
+    """The responding controller's own state."""
 
     node: str
     state: str
     """`acting`, `leaving`, `left` (holds nothing), `unfit` or `starting`."""
     may_end: bool
-    """It has left, and users have been led elsewhere: its process may be ended."""
+    """Whether its process may be ended: it has left, and users are directed elsewhere."""
     caught_up: bool
-    """Its replica follows the state service."""
+    """Whether its replica is up to date with the state service."""
     machines: int
     responsive_machines: int
-    """Of its shares' machines, those that reported lately."""
+    """Number of its shards' machines that sent a heartbeat recently."""
     uptime_s: float
     refresh: RefreshProgress
     migration: MigrationProgress
 
 
 class RolloutView(Struct, frozen=True, rename={"shards_without_actor": "shares_without_actor"}):
-    """The answer of `GET /rollout`."""
+    """The response to `GET /rollout`."""
 
     level: int
     name: str
     active: list[str]
     target: int | None
     next: int | None
-    """The level that the leader would go to now; None if there is nothing to do."""
+    """The level that the leader would change to now; None if no change is due."""
     blocked_by: list[Obstacle]
     shards_without_actor: list[int]
     leader: str | None
@@ -106,7 +108,7 @@
 
 
 class LevelRequest(Struct, frozen=True, forbid_unknown_fields=True):
-    """The level that operators want; null: the newest that all controllers can act at."""
+    """A request for a level; null: the newest level that all controllers support."""
 
     level: int | None
 
--- a/badgerseam/wire/standby.py
+++ b/badgerseam/wire/standby.py
@@ -1,4 +1,4 @@
-"""Soft state: what an owner sends to the controllers that would take over from it."""
+"""Soft state: what an owner sends to the controllers that would take over its claims."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 
 class FollowRequest(Struct, frozen=True):
-    """Asks for soft state. The answer is delayed for a while, so that the end of the connection
-    shows the end of the process."""
+    """Requests soft state. The request is held open for a while before the response, so that the
+    end of the connection shows the end of the process."""
 
     node: str
     process: str = ""
-    """The process that answered before, whose hints the requester has."""
+    """The process that sent the previous response, whose hints the requester has."""
     number: int = 0
-    """The number of the latest answer that was received."""
+    """The number of the latest response that was received."""
 
 
 class MachineHint(Struct, frozen=True, array_like=True):
-    """What an owner knows of a machine and the state service does not hold."""
+    """What an owner knows about a machine beyond what the state service stores."""
 
     name: str
     address: str
     incarnation: int
     fencing_token: int
-    """The highest token that the worker has shown."""
+    """The highest token that the worker has reported."""
     evictions: list[float]
-    """How long ago each recent one was, in seconds."""
+    """How many seconds ago each recent eviction was."""
     images: list[str]
 
 
 class ShardHint(Struct, frozen=True, array_like=True):
-    """The changes of an owned shard since the answer before."""
+    """Changes of an owned shard since the previous response."""
 
     shard: int
     term: int
@@ -41,42 +41,44 @@
 
 
 class BlockedHint(Struct, frozen=True, array_like=True):
-    """An offer of the cloud without capacity, as the leader found it."""
+    """A cloud offer for which the leader found no capacity."""
 
     type: str
     zone: str
     spot: bool
     for_s: float
-    """For how many seconds it is not to be requested."""
+    """Seconds until it may be requested again."""
     pause_s: float
+    """The current backoff between requests, in seconds."""
 
 
 class SoftStateUpdate(Struct, frozen=True, rename={"is_held_open": "held", "shards": "shares"}):
-    """The answer to a request to follow."""
+    """The response to a request for soft state."""
 
     process: str
-    """Identifies the process: it distinguishes one that answers again, after its lease was ended
-    needlessly, from one that was started anew."""
+    """Identifies the process. This distinguishes a process that responds again after its lease was
+    revoked by mistake from a newly started one."""
     number: int = 0
-    """Rises by one with each answer to the same requester."""
+    """Increases by one with each response to the same requester."""
     is_held_open: bool = True
-    """`held` on the wire: whether the answer was delayed; if not, the next request has to wait for
-    a while."""
+    """`held` on the wire: whether the request was held open; if not, the requester has to wait for
+    a while before its next request."""
     shards: list[ShardHint] = field(default_factory=list)
     leader_term: int = 0
     blocked: list[BlockedHint] = field(default_factory=list)
 
 
 class PeerViewRequest(Struct, frozen=True):
-    """Asks a peer how it sees another one."""
+    """Asks a peer whether it can reach another controller."""
 
     node: str
 
 
 class PeerView(Struct, frozen=True):
-    """How a peer sees another controller: connections refused or reset in a row."""
+    """A peer's view of another controller."""
 
     refused: int
+    """Number of consecutive connections that were refused or reset."""
 
 
 follow_request_decoder: msgspec.json.Decoder[FollowRequest] = msgspec.json.Decoder(FollowRequest)
--- a/badgerseam/wire/state.py
+++ b/badgerseam/wire/state.py
@@ -1,7 +1,7 @@
 """The state service's protocol, and the records that are stored there.
 
-Where the protocol's name of a field differs, the field's docstring gives it. Stored records are
-arrays on the wire to stay small: the order of their fields is the format.
+If the protocol uses a different name for a field, the field's docstring gives that name. Stored
+records are encoded as arrays to keep them small, so the order of their fields is their format.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     items: list[Entry]
     """`entries`"""
     more: bool
-    """Whether there are keys behind these."""
+    """Whether more keys follow."""
     revision: int
     """`epoch`: the revision of the store at which the page was read."""
 
@@ -56,13 +56,13 @@
     """The changes of the store after a revision."""
 
     revision: int
-    """`epoch`: the revision up to which these are all the changes."""
+    """`epoch`: the revision up to which the changes are complete."""
     events: list[Change] = field(default_factory=list)
     """`log`: in the order of their revisions."""
 
 
 class Condition(Struct, frozen=True, rename={"key": "k", "version": "stamp"}):
-    """A condition of a transaction: a key that must still have a version."""
+    """A condition of a transaction: the version that a key must have."""
 
     key: str
     """`k`"""
@@ -85,11 +85,11 @@
     value: Raw | None = None
     """`data`"""
     lease: int | None = None
-    """`grant`: the lease whose end deletes the key; None if it stays."""
+    """`grant`: the lease whose end deletes the key; None if the key is permanent."""
 
 
 class Transaction(Struct, frozen=True, rename={"conditions": "when", "then": "writes"}):
-    """A compare-and-swap: the writes happen if all conditions hold."""
+    """A compare-and-swap: the writes are executed if all conditions hold."""
 
     conditions: list[Condition]
     """`when`"""
@@ -98,12 +98,12 @@
 
 
 class Committed(Struct, frozen=True, rename={"revision": "epoch"}):
-    """The answer to a transaction."""
+    """The response to a transaction."""
 
     revision: int
-    """`epoch`: the revision that its writes got."""
+    """`epoch`: the revision of its writes."""
     failed: list[str] = field(default_factory=list)
-    """The keys whose conditions did not hold; nothing was written if there are any."""
+    """The keys whose conditions did not hold; if there are any, nothing was written."""
 
 
 class Lease(Struct, frozen=True, rename={"lease": "grant"}):
@@ -117,39 +117,40 @@
 
 
 class Claim(Struct, frozen=True, array_like=True):
-    """Who owns a shard, leads, or is alive, and on which lease."""
+    """A controller, and the lease that its claim or its own record depends on."""
 
     node: str
     lease: int
     unavailable: bool = False
-    """Of a controller's own record: it claims no shard, since no worker reaches it, it drains, or
-    it does not support the site's level."""
+    """In a controller's own record: whether it claims no shards, because no worker reaches it, it
+    is draining, or it does not support the site's level."""
 
 
 class ControllerRecord(Claim, frozen=True, array_like=True):
-    """A controller's own record, on its lease: that it is there, and which levels of the stored
-    state its program can act at. A program from before levels says nothing of them."""
+    """A controller's own record, on its lease: shows that it is running, and which levels of the
+    stored state its program supports. Programs from before levels omit these."""
 
     min_level: int = 1
     max_level: int = 1
     program: str = ""
     classes_digest: str = ""
-    """Digest of the priority classes in its options; empty if it keeps none."""
+    """Digest of the priority classes in its options; empty if it has none."""
     suspected: list[str] = field(default_factory=list)
-    """Controllers that it suspects to have ended; one that is alive writes its own record again."""
+    """Controllers that it suspects to have ended. If one of them is still running, it responds by
+    writing its own record again."""
 
 
 class ClaimRecord(Claim, frozen=True, array_like=True):
     """A claim on a shard or on the leadership."""
 
     previous_owner_until: float | None = None
-    """Time of day up to which the owner before this one, cut off from the state service, may go on
-    answering the shard's workers; None from a program that does not say. Later processes of the
-    owner carry it over, since none of them can know it by itself."""
+    """Time of day until which the previous owner may still respond to the shard's workers, if it is
+    cut off from the state service; None from a program that does not record it. Later processes of
+    the owner copy the value, since they cannot determine it themselves."""
 
 
 class ProxyRecord(Struct, frozen=True, array_like=True):
-    """The owners whose workers a controller answers, since it cannot reach them."""
+    """The owners for which a controller responds to heartbeats, because it cannot reach them."""
 
     node: str
     lease: int
@@ -157,30 +158,30 @@
 
 
 class StoredJob(Struct, frozen=True, array_like=True):
-    """A job: open with its description, or ended with its number of tasks only."""
+    """A job: an open one with its description, or an ended one with only its number of tasks."""
 
     state: str
     tasks: int
     accepted_at: float
     spec: Submission | None = None
     usage: Usage | None = None
-    """What it used, of one that has ended and was accounted for."""
+    """The usage summary of an ended job, if it was accounted for."""
     queue_position: int = 0
-    """The version of the record that accepted it, kept when that is written again; 0 in that
-    record itself."""
+    """The version of the record with which the job was accepted, kept when the record is rewritten;
+    0 in that first record itself."""
 
 
 class StoredMember(StoredJob, frozen=True, array_like=True):
-    """An ended job of a plan of reckoning runs. Its queue position determines its run: it was
-    accepted before the members of that one were settled, and after those of the run before."""
+    """An ended job of a plan of reckoning runs. Its queue position determines its run: the job was
+    accepted before the cutoff of that run, and after the cutoff of the previous one."""
 
     plan: str = ""
     reckoned: int = 0
-    """Of a cancelled job: its tasks that were known to be done."""
+    """For a cancelled job: the number of tasks that were known to be done."""
 
 
 class TaskRow(Struct, frozen=True, array_like=True):
-    """A task that was tried: its number, last attempt, and the machine it may be on."""
+    """A task that has been attempted: its number, last attempt, and the machine it may be on."""
 
     task: int
     attempt: int
@@ -193,49 +194,49 @@
     number: int
     """The task."""
     step: int
-    """Its failures. Of two notes on the same task the one with more counts."""
+    """Number of failures. If there are two notes on a task, the one with more failures is valid."""
     attempt: int = 0
-    """The last attempt that has failed: seen again in a report by the next owner, it is not
-    counted twice."""
+    """The last attempt that failed. If the next owner receives it in a heartbeat again, it does not
+    count it twice."""
 
 
 class StoredReplica(Struct, frozen=True, array_like=True, tag="r"):
-    """A note: what is intended with a replica that spans machines."""
+    """A note: the target state of a replica that spans machines."""
 
     number: int
-    """Of the replica within its job."""
+    """The number of the replica within its job."""
     step: int
-    """Rises with each change of what follows: the note with the highest counts."""
+    """Increases with each change of the fields below; the note with the highest step is valid."""
     phase: int
     generation: int
-    """Rises whenever it is started anew."""
+    """Increases each time the replica is restarted."""
     at: int
-    """When the phase began, in tenths of a second after the job's acceptance."""
+    """Start of the phase, in tenths of a second after the job's acceptance."""
     members: list[int] = field(default_factory=list)
-    """The tasks that the phase is about: those lost, or those being moved; none: all of them."""
+    """The tasks that the phase applies to: those lost, or those being moved; empty: all tasks."""
     to: list[str] = field(default_factory=list)
-    """Of a move: the machine reserved for each of these, in order of their numbers."""
+    """For a move: the machine reserved for each of `members`, in the order of their numbers."""
 
 
 Note = StoredFailures | StoredReplica
 
 
 class JobRows(Struct, frozen=True, array_like=True):
-    """One job in a page of the task log: finished tasks as hexadecimal bit sets, each of one chunk
-    of the job's tasks, and tasks that were tried."""
+    """The entry of a job in a page of the task log: finished tasks, as the number of each chunk of
+    tasks with a hexadecimal bit set, and rows of the tasks that have been attempted."""
 
     job: str
     done: list[tuple[int, str]]
     rows: list[TaskRow]
     starts: list[tuple[int, int]] = field(default_factory=list)
-    """When attempts of these rows began to run, where the site's level has it: the task, and
-    tenths of a second after the job's acceptance. Programs of the level before leave it out."""
+    """When attempts of these rows started to run, if the site's level includes it: the task, and
+    tenths of a second after the job's acceptance. Programs of the previous level omit it."""
     notes: list[Note] = field(default_factory=list)
-    """Where the site's level has them."""
+    """Notes on single tasks and replicas, if the site's level includes them."""
 
 
 class StoredMachine(Struct, frozen=True, array_like=True):
-    """A machine and the shard it serves; dropped ones wait for their release."""
+    """A machine and the shard that it serves. A dropped machine waits to be released."""
 
     name: str
     shard: int
@@ -248,10 +249,10 @@
 
 
 class StoredRental(Struct, frozen=True, array_like=True):
-    """A rental request under its unique name, persisted before it is sent."""
+    """A rental request, stored under its unique name before it is sent."""
 
     shards: list[int]
-    """The shard each machine is meant for, the most urgent first."""
+    """The shard that each machine is intended for, the most urgent first."""
     type: str
     zone: str
     spot: bool
@@ -259,78 +260,79 @@
 
 
 class SiteLevel(Struct, frozen=True, array_like=True):
-    """The level of the stored state that a site is at."""
+    """The level of a site's stored state."""
 
     level: int
     by: str
-    """The leader that wrote it."""
+    """The leader that wrote the record."""
     at: float
     migrated: int = 1
-    """No record is left in a form that a later level up to this one has replaced."""
+    """No record is left in a format that was replaced by this level or an earlier one."""
 
 
 class TargetLevel(Struct, frozen=True, array_like=True):
-    """The level that operators ask for; without such a record it rises when it can."""
+    """The level requested by operators. Without this record, the level is raised when possible."""
 
     level: int
-    """To be raised or lowered to, one step at a time, and to stay at."""
+    """The level to change to, one step at a time, and then to keep."""
     by: str
     at: float
 
 
 class StoredRun(Struct, frozen=True, array_like=True):
-    """A reckoning run of a plan; it is never removed. Each phase is written on the version of
-    the one before."""
+    """A reckoning run of a plan. The record is never deleted. Each phase is written on the
+    condition that the record still has the version of the previous phase."""
 
     phase: str
-    """open, reckoning, second (round), closing, closed."""
+    """`open`, `reckoning`, `second` (the second round), `closing` or `closed`."""
     opened: float
-    """Time of day."""
+    """Time of day at which it was opened."""
     slot: float
-    """Time of day at which it was to open."""
+    """Time of day at which it was scheduled to open."""
     closes: float
-    """Time of day by which it must be closing."""
+    """Time of day by which it must enter the phase `closing`."""
     by: str
-    """Who wrote it."""
+    """The controller that wrote the record."""
     at: float
-    """When the phase began."""
+    """Time of day at which the phase began."""
     cutoff_version: int = 0
-    """Of a closed run, the version of its closing record: members are those accepted before it. Of
-    one that is closing it is the record's own version."""
+    """For a closed run: the version of its closing record; jobs accepted before it are members.
+    While the run is closing, the cutoff is the version of the record itself."""
     seen: int = 0
-    """Of a closed one, the revision at which its members were counted."""
+    """For a closed run: the revision at which its members were counted."""
     counts: list[int] = field(default_factory=list)
-    """Of a closed one: members reckoned, withdrawn and unresolved."""
+    """For a closed run: the numbers of reckoned, withdrawn and unresolved members."""
     reasons: dict[str, int] = field(default_factory=dict)
-    """Why members are unresolved, and how many."""
+    """Number of unresolved members by reason."""
 
 
 class StoredClass(Struct, frozen=True, array_like=True):
-    """A priority class: what belongs to it."""
+    """A priority class, and the job classes and teams that belong to it."""
 
     name: str
     jobs: list[str]
-    """Classes of jobs."""
+    """Job classes."""
     teams: list[str]
 
 
 class StoredClasses(Struct, frozen=True, array_like=True):
-    """The priority classes of a site, the first one first."""
+    """The priority classes of a site, the highest priority first."""
 
     classes: list[StoredClass]
     default: str
     by: str
     at: float
     age_s: float = 0.0
-    """A job counts as one class higher for each of these times that it has waited; 0: never."""
+    """A job is treated as one class higher for each period of this length that it has waited; 0:
+    never."""
     max_hold_s: float = 0.0
-    """How long after a takeover capacity is reserved for what is coming."""
+    """Seconds after a takeover for which capacity is reserved for expected arrivals."""
     options: str = ""
-    """Digest of the options that were in force when it was written: only others replace it."""
+    """Digest of the options from which the record was made; only different options replace it."""
 
 
 class StoredCounts(Struct, frozen=True, array_like=True):
-    """A shard's counts of finished and evicted tasks (the paper's G and F)."""
+    """A shard's counts of finished and evicted tasks (G and F of the GFS paper)."""
 
     finished: int
     evicted: int
@@ -349,5 +351,5 @@
 
 
 def raw(record: object) -> Raw:
-    """A record encoded once, for use as a value in a transaction."""
+    """Encodes a record for use as a value in a transaction."""
     return Raw(encode(record))
--- a/badgerseam/wire/users.py
+++ b/badgerseam/wire/users.py
@@ -1,6 +1,6 @@
 """The users' protocol: submissions and the states of jobs.
 
-JOB_NAMES maps the fields of a submission to the names of the protocol.
+`SUBMISSION_WIRE_NAMES` maps the fields of a submission to their names in the protocol.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 JobId = Annotated[str, Meta(pattern=r"\Ajob-[0-9]{1,18}\Z")]
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 
-JOB_NAMES = {
+SUBMISSION_WIRE_NAMES = {
     "job_class": "jobclass",
     "team": "owner",
     "kind": "shape",
@@ -41,39 +41,40 @@
 
 
 class Dependency(Struct, frozen=True):
-    """What another job must have done first: started (`after`), ended (`afterany`), done
-    (`afterok`), or cancelled (`afternotok`)."""
+    """A condition on another job: that it has started (`after`), ended (`afterany`), completed
+    (`afterok`) or been cancelled (`afternotok`)."""
 
     kind: DependencyKind
     job: JobId
 
 
 class Terms(Struct, frozen=True, omit_defaults=True, rename="camel"):
-    """When a job may start, beyond what the scheduler decides; kept with the job."""
+    """Conditions set by the user on when a job may start; stored with the job."""
 
     name: Text | None = None
     user: Text | None = None
     hold: bool = False
-    """Nothing more of it starts until it is released."""
+    """Whether no more of its tasks start until it is released."""
     begin_at: TimeOfDay | None = None
-    """Time of day (seconds since 1970) before which nothing of it starts."""
+    """Time of day (seconds since 1970) before which none of its tasks start."""
     throttle: Annotated[int, Meta(ge=1, le=100_000)] | None = None
-    """Most tasks at once."""
+    """Maximum number of tasks that run at the same time."""
     depends: Annotated[list[Dependency], Meta(max_length=64)] = []
     any: bool = False
-    """One of the dependencies is enough."""
+    """Whether it is enough that one of the dependencies is met."""
     singleton: bool = False
-    """Waits for the earlier jobs of the same team, user and name."""
+    """Whether it waits for the earlier jobs of the same team, user and name."""
     first: Annotated[int, Meta(ge=0)] = 0
+    """For an array: the index that users see for its task 0."""
     step: Annotated[int, Meta(ge=1)] = 1
-    """Of an array: what its task 0 is called, and the step from one to the next."""
+    """For an array: the step from one index to the next."""
     nonce: Text | None = None
-    """Tells a repeated submission from another job under the same id."""
+    """Distinguishes a repeated submission from another job with the same id."""
     comment: Text | None = None
 
 
-class Submission(Struct, frozen=True, omit_defaults=True, rename=JOB_NAMES):
-    """A job as its user describes it; resources are those of one task."""
+class Submission(Struct, frozen=True, omit_defaults=True, rename=SUBMISSION_WIRE_NAMES):
+    """A job as described by its user; the resources are per task."""
 
     id: JobId
     job_class: Text
@@ -104,7 +105,7 @@
     id: str
     state: str
     done: int | None = None
-    """Tasks that have finished; None if the answer does not say."""
+    """Number of finished tasks; None if the response does not include it."""
     running: int | None = None
 
 
--- a/badgerseam/wire/workers.py
+++ b/badgerseam/wire/workers.py
@@ -1,6 +1,6 @@
-"""The workers' protocol: heartbeats, and commands in the answers or sent directly.
+"""The workers' protocol: heartbeats, and commands in the responses or sent directly.
 
-Where the protocol's name of a field differs, the field's docstring gives it.
+If the protocol uses a different name for a field, the field's docstring gives that name.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-Whole = Annotated[int, Meta(ge=0)]
-"""A number from 0 up."""
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+"""An integer that is at least 0."""
 
 
 class TaskStatus(
@@ -25,18 +25,18 @@
         "checkpointed": "saved",
     },
 ):
-    """The status of one attempt of a task, as its worker has it (protocol: one of `pieces`)."""
+    """The status of an attempt of a task, as reported by its worker (protocol: one of `pieces`)."""
 
     task: str
     """`piece`: the name of the task."""
-    attempt: Whole
+    attempt: NonNegativeInt
     """`try`: the number of the attempt."""
     state: str
-    """`phase`: how far the attempt has come."""
+    """`phase`: the phase of the attempt."""
     exit_reason: str | None = None
-    """`cause`: why it ended; None while it has not."""
+    """`cause`: why the attempt ended; None if it has not ended."""
     checkpointed: bool | None = None
-    """`saved`: whether its state was saved before it ended; None if that is not known."""
+    """`saved`: whether its state was saved before it ended; None if this is not known."""
 
 
 class Heartbeat(
@@ -60,23 +60,23 @@
     machine: str
     """`host`: the name of the machine."""
     address: str
-    """Where the worker takes direct commands."""
+    """The address at which the worker accepts direct commands."""
     type: str
     """`breed`: the machine type."""
     zone: str
     """`sett`"""
     spot: bool
-    """`loaned`: whether the cloud may take the machine back."""
-    incarnation: Whole
-    """`tenure`: counts the worker's sessions, one more with each lease that expired."""
-    sequence: Whole
+    """`loaned`: whether the cloud may reclaim the machine."""
+    incarnation: NonNegativeInt
+    """`tenure`: number of the worker's session, incremented each time its lease expires."""
+    sequence: NonNegativeInt
     """`tick`: the number of the heartbeat within the incarnation."""
-    fencing_token: Whole = 0
+    fencing_token: NonNegativeInt = 0
     """`warrant`: the highest token that the worker has accepted."""
     reclaim_notice_s: float | None = None
-    """`recallS`: in how many seconds the cloud takes the machine back; None if it does not."""
+    """`recallS`: seconds until the cloud reclaims the machine; None if it does not."""
     tasks: list[TaskStatus] = field(default_factory=list)
-    """`pieces`: all attempts that the worker knows."""
+    """`pieces`: all attempts on the worker."""
 
 
 class Command(
@@ -88,22 +88,22 @@
     """A command to a worker (protocol: one of `orders`)."""
 
     op: str
-    """`verb`: what is to be done."""
+    """`verb`: the operation to execute."""
     task: str
     """`piece`: the name of the task."""
     attempt: int
     """`try`: the number of the attempt."""
     grace_s: float | None = None
-    """`windDownS`: seconds that a task gets to save its state and exit."""
+    """`windDownS`: seconds that the task has to save its state and exit."""
 
 
 class HeartbeatResponse(
     Struct, frozen=True, rename={"fencing_token": "warrant", "commands": "orders"}
 ):
-    """The answer to a heartbeat from the controller that owns the machine."""
+    """The response to a heartbeat by the controller that owns the machine."""
 
     fencing_token: int
-    """`warrant`: commands with a lower token are refused from now on."""
+    """`warrant`: from now on the worker refuses commands with a lower token."""
     commands: list[Command]
     """`orders`"""
 
@@ -118,16 +118,16 @@
     fencing_token: int
     """`warrant`: the worker refuses the commands if it has accepted a higher token."""
     incarnation: int
-    """`tenure`: the session of the worker that the commands are for."""
+    """`tenure`: the worker's session that the commands are intended for."""
     commands: list[Command]
     """`orders`"""
 
 
 class Redirect(Struct, frozen=True, omit_defaults=True, rename={"owner": "overseer"}):
-    """The answer to a heartbeat from a controller that does not own the machine."""
+    """The response to a heartbeat by a controller that does not own the machine."""
 
     owner: str | None = None
-    """`overseer`: the address to report to; None if it is not known."""
+    """`overseer`: the address to send heartbeats to; None if it is not known."""
 
 
 heartbeat_decoder: msgspec.json.Decoder[Heartbeat] = msgspec.json.Decoder(Heartbeat)
