--- a/badgerseam/store/state_watcher.py
+++ b/badgerseam/store/state_watcher.py
@@ -177,7 +177,8 @@
         try:
             snapshot = await self._read_all_keys()
         except UndecodableRecordError:
-            # Either the level was raised during the load, or the record is invalid.
+            # Unless the level was raised during the load, the record is invalid and loading cannot
+            # succeed.
             await self._read_level()
             with model.lock:
                 if model.is_supported:
--- a/badgerseam/wire/__init__.py
+++ b/badgerseam/wire/__init__.py
@@ -1,1 +1,4 @@
-"""Messages of each protocol. Fields are encoded under the names that the protocol defines."""
+"""Messages of each protocol.
+
+Fields are encoded under the names of the protocol, which may differ from those in the code.
+"""
--- a/badgerseam/wire/rollout.py
+++ b/badgerseam/wire/rollout.py
@@ -78,7 +78,7 @@
 
     node: str
     state: str
-    """`acting`, `leaving`, `left` (holds nothing), `unfit` or `starting`."""
+    """`acting`, `leaving`, `left` (has no claims), `unfit` or `starting`."""
     may_end: bool
     """Whether its process may be ended: it has left, and users are directed elsewhere."""
     caught_up: bool
