--- a/badgerseam/lab/site.py
+++ b/badgerseam/lab/site.py
@@ -11,9 +11,9 @@
 
 from badgerseam.settings import (
     CloudParams,
+    ExternalServices,
     MachineLimits,
     Objective,
-    Outside,
     Params,
     Settings,
     SettingsError,
@@ -194,7 +194,7 @@
         zone_of[node],
         f"127.0.0.1:{own.api}",
         f"127.0.0.1:{own.peer}",
-        Outside(f"127.0.0.1:{own.cloud}", f"127.0.0.1:{own.state}"),
+        ExternalServices(f"127.0.0.1:{own.cloud}", f"127.0.0.1:{own.state}"),
         Params(
             site.shards,
             list(site.teams),
--- a/badgerseam/settings.py
+++ b/badgerseam/settings.py
@@ -34,7 +34,7 @@
     peer_addr: Address
 
 
-class Outside(Struct, frozen=True):
+class ExternalServices(Struct, frozen=True):
     """The addresses of the services outside the site."""
 
     cloud: Address
@@ -132,7 +132,7 @@
     zone: str
     api_addr: Address
     cluster_listen: Address
-    outside: Outside
+    outside: ExternalServices
     params: Params
     siblings: list[Sibling] = field(default_factory=list)
 
