--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -10,7 +10,7 @@
 from badgerseam.clock import Clock
 from badgerseam.explain.text import pluralize
 from badgerseam.fleet.boot_times import SPREAD
-from badgerseam.fleet.demand import Offer, options, virtual_node
+from badgerseam.fleet.demand import Offer, offered_machine, options
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 from badgerseam.model.state import Shard
@@ -95,7 +95,7 @@
     for rental, _ in model.rentals.values():
         offer = Offer(rental.type, rental.zone, rental.spot)
         for _ in range(rental.shards.count(shard.index)):
-            node = virtual_node(model.types, offer, -1)
+            node = offered_machine(model.types, offer, -1)
             if node is not None:
                 result.rentals.append(node)
     return result
@@ -111,7 +111,7 @@
     if left_s <= 0:
         return None
     offer = Offer(machine.type, machine.zone, machine.spot)
-    node = virtual_node(model.types, offer, machine.index)
+    node = offered_machine(model.types, offer, machine.index)
     return None if node is None else (node, left_s)
 
 
@@ -199,7 +199,7 @@
     offers = [option.offer for option in options(model.types, set())]
     useful = []
     for offer in offers:
-        node = virtual_node(model.types, offer, -1)
+        node = offered_machine(model.types, offer, -1)
         if node is not None and _serves(request, node):
             useful.append(offer)
     refused = [offer for offer in useful if offer in blocked]
--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -242,7 +242,7 @@
     )
 
 
-def virtual_node(
+def offered_machine(
     types: dict[str, MachineType], offer: Offer, index: int
 ) -> pts.MachineSnapshot | None:
     """A machine that is being rented, as if it were there; None if its type is not known."""
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -19,7 +19,7 @@
     wait_s_by_class,
 )
 from badgerseam.fleet.cloud import CloudClient
-from badgerseam.fleet.demand import Offer, options, virtual_node
+from badgerseam.fleet.demand import Offer, offered_machine, options
 from badgerseam.fleet.evacuation import Evacuation
 from badgerseam.fleet.machine_list import MIN_CHARGED_S, MachineList
 from badgerseam.fleet.machine_moves import MachineMoves, TransferMachines
@@ -314,7 +314,7 @@
             for _ in range(rental.shards.count(shard.index)):
                 # Indices that no other machine of any shard has.
                 index = -1000 - len(nodes) - 10000 * shard.index
-                node = virtual_node(self._model.types, offer, index)
+                node = offered_machine(self._model.types, offer, index)
                 if node is not None:
                     nodes.append(node)
 
