--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -26,7 +26,7 @@
     return (*level_of(request), request.order)
 
 
-def in_level_order(requests: list[pts.Request]) -> list[pts.Request]:
+def in_priority_order(requests: list[pts.Request]) -> list[pts.Request]:
     """Requests by level, where priority classes are declared; else in the given order."""
     return sorted(requests, key=level_of) if any(r.priority_class for r in requests) else requests
 
--- a/badgerseam/fleet/evacuation.py
+++ b/badgerseam/fleet/evacuation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from badgerseam.fleet import policy
-from badgerseam.fleet.demand import in_level_order
+from badgerseam.fleet.demand import in_priority_order
 from badgerseam.model.job import HIGH_RANK
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
@@ -51,7 +51,7 @@
                 continue
             if now - self._evacuated_at.get(shard, -1e9) < EVACUATION_INTERVAL_S:
                 continue
-            for request in in_level_order(snapshot.requests):
+            for request in in_priority_order(snapshot.requests):
                 if not self._may_evacuate(snapshot, request, waiting, now):
                     continue
                 if borrowers is None and not request.high:
