--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -118,7 +118,7 @@
                     machine.draining = True
                     machine.evacuate_to = shard
                     done.add(machine.name)
-                elif self._may_pass_on(machine) and not machine.transferring:
+                elif self._may_transfer(machine) and not machine.transferring:
                     machine.evacuate_to = None
                     machine.draining = machine.transferring = True
                     passed_on.append(machine)
@@ -158,10 +158,10 @@
             for machine in self._model.machines.values()
             if machine.evacuate_to is not None
             and not machine.transferring
-            and self._may_pass_on(machine)
+            and self._may_transfer(machine)
         ]
 
-    def _may_pass_on(self, machine: Machine) -> bool:
+    def _may_transfer(self, machine: Machine) -> bool:
         """Whether a machine is ours and empty, and not to be released."""
         return (
             self._model.shards[machine.shard].owned
