--- a/badgerseam/fleet/evacuation.py
+++ b/badgerseam/fleet/evacuation.py
@@ -47,7 +47,7 @@
         borrowers: set[int] | None = None
         for shard, snapshot in enumerate(snapshots):
             waiting = decisions.waiting[shard]
-            if not waiting or any(rented_for == shard for _, rented_for in decisions.rents):
+            if not waiting or any(rented_for == shard for _, rented_for in decisions.rentals):
                 continue
             if now - self._evacuated_at.get(shard, -1e9) < EVACUATION_INTERVAL_S:
                 continue
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -257,7 +257,7 @@
 
     def _start_rentals(self, decisions: policy.FleetDecisions) -> None:
         shards_by_offer: dict[Offer, list[int]] = {}
-        for offer, shard in decisions.rents:
+        for offer, shard in decisions.rentals:
             shards_by_offer.setdefault(offer, []).append(shard)
         # One request an offer for all shards, and none that would have to wait: the cloud allows
         # few calls, and what is requested later covers all that is missing by then.
--- a/badgerseam/fleet/policy.py
+++ b/badgerseam/fleet/policy.py
@@ -21,7 +21,7 @@
 
     moves: list[tuple[int, int]] = field(default_factory=list)
     """Machines to be moved, with the shard that needs them."""
-    rents: list[tuple[Offer, int]] = field(default_factory=list)
+    rentals: list[tuple[Offer, int]] = field(default_factory=list)
     """Machines to be rented, with the shard that needs them."""
     surplus: list[int] = field(default_factory=list)
     """Empty machines that nothing needs."""
@@ -113,7 +113,7 @@
                 if free is not None:
                     unplaced.fill(node, free)
             offers = unplaced.rent(choices, self._max_machines)
-            self.result.rents += [(offer, shard) for offer in offers]
+            self.result.rentals += [(offer, shard) for offer in offers]
 
     def reserve_capacity(
         self, position: int, reserve: CapacityReserve, choices: list[Option]
@@ -136,7 +136,7 @@
             unlimited = {0: pts.TeamUse(NOTHING, UNLIMITED, UNLIMITED)}
             unplaced = UnplacedDemand([request], {request.job: missing}, unlimited)
             rented = unplaced.rent(offers, self._max_machines)
-            self.result.rents += [(offer, reserve.shard) for offer in rented]
+            self.result.rentals += [(offer, reserve.shard) for offer in rented]
 
     def _evictable_slots(self, reserve: CapacityReserve) -> float:
         """Slots of low-priority work that high-priority work of the reserve may evict."""
@@ -176,7 +176,7 @@
 
     def consolidate(self, request_of: RequestOf) -> None:
         """Empty a machine of each shard without waiting work, unless on-demand ones are rented."""
-        if any(not offer.spot for offer, _ in self.result.rents):
+        if any(not offer.spot for offer, _ in self.result.rentals):
             return
         for shard, plan in enumerate(self._plans):
             if plan.waiting:
