--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Option:
+class RentalOption:
     """An offer with the size and the price of a machine."""
 
     offer: Offer
@@ -49,7 +49,7 @@
     price: float
 
 
-def options(types: dict[str, MachineType], blocked: set[Offer]) -> list[Option]:
+def options(types: dict[str, MachineType], blocked: set[Offer]) -> list[RentalOption]:
     """All that may be rented now, at present prices; `blocked` offers are left out."""
     found = []
     for entry in types.values():
@@ -59,7 +59,7 @@
                 offer = Offer(entry.name, zone, spot)
                 if offer not in blocked and (not spot or entry.spot_price > 0):
                     price = entry.spot_price if spot else entry.price
-                    found.append(Option(offer, total, price))
+                    found.append(RentalOption(offer, total, price))
     return found
 
 
@@ -150,7 +150,7 @@
             count = min(count, request.zone_limit - tasks.zones.get(node.zone, 0))
         return count
 
-    def rent(self, choices: list[Option], max_machines: int) -> list[Offer]:
+    def rent(self, choices: list[RentalOption], max_machines: int) -> list[Offer]:
         """What to rent for all tasks that are left, by the price of a slot that will be used."""
         rented: list[Offer] = []
         while self._unplaced and len(rented) < max_machines:
@@ -180,9 +180,9 @@
                 count += tasks.count
         return count
 
-    def _cheapest(self, first: _UnplacedTasks, choices: list[Option]) -> Option | None:
+    def _cheapest(self, first: _UnplacedTasks, choices: list[RentalOption]) -> RentalOption | None:
         """The option of the least price for each task that will use it; None if there is none."""
-        best: Option | None = None
+        best: RentalOption | None = None
         best_price = 0.0
         for option in choices:
             node = _empty_machine(option, -1)
@@ -226,7 +226,7 @@
     return found[::-1]
 
 
-def _empty_machine(option: Option, index: int) -> pts.MachineSnapshot:
+def _empty_machine(option: RentalOption, index: int) -> pts.MachineSnapshot:
     offer = option.offer
     return pts.MachineSnapshot(
         index,
@@ -250,4 +250,4 @@
     if entry is None:
         return None
     total = Resources(entry.cpus, entry.gpus, entry.memory_gb)
-    return _empty_machine(Option(offer, total, entry.price), index)
+    return _empty_machine(RentalOption(offer, total, entry.price), index)
--- a/badgerseam/fleet/policy.py
+++ b/badgerseam/fleet/policy.py
@@ -7,7 +7,7 @@
 
 from badgerseam.fleet.capacity_reserve import CapacityReserve
 from badgerseam.fleet.consolidation import RequestOf, machine_to_empty
-from badgerseam.fleet.demand import Level, Offer, Option, UnplacedDemand, level_of
+from badgerseam.fleet.demand import Level, Offer, RentalOption, UnplacedDemand, level_of
 from badgerseam.model.job import HIGH_RANK
 from badgerseam.model.resources import NOTHING, Resources
 from badgerseam.sched import pts
@@ -36,7 +36,7 @@
     empty: set[int],
     idle: set[int],
     reserves: list[CapacityReserve],
-    choices: list[Option],
+    choices: list[RentalOption],
     max_machines: int,
     boot_s: float = 0.0,
     request_of: RequestOf | None = None,
@@ -104,7 +104,7 @@
                 del self._free[node.index]
                 self.result.moves.append((node.index, shard))
 
-    def rent_for_waiting_work(self, choices: list[Option], boot_s: float) -> None:
+    def rent_for_waiting_work(self, choices: list[RentalOption], boot_s: float) -> None:
         """Rent for what does not fit into the capacity that is free before a machine has booted."""
         for shard, unplaced in self._unplaced.items():
             now = self._snapshots[shard].now
@@ -116,7 +116,7 @@
             self.result.rentals += [(offer, shard) for offer in offers]
 
     def reserve_capacity(
-        self, position: int, reserve: CapacityReserve, choices: list[Option]
+        self, position: int, reserve: CapacityReserve, choices: list[RentalOption]
     ) -> None:
         """Reserve free capacity, and rent what is missing."""
         missing = reserve.tasks
