--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -10,7 +10,7 @@
 from badgerseam.clock import Clock
 from badgerseam.explain.text import pluralize
 from badgerseam.fleet.boot_times import SPREAD
-from badgerseam.fleet.demand import Offer, offered_machine, options
+from badgerseam.fleet.demand import Offer, offered_machine, rental_options
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 from badgerseam.model.state import Shard
@@ -196,7 +196,7 @@
 def _capacity_reasons(model: Model, view: CloudView, request: Request) -> list[Reason]:
     """The reason of a cloud that refuses all offers which could take the tasks."""
     blocked = {Offer(entry.type, entry.zone, entry.spot): entry.again_s for entry in view.blocked}
-    offers = [option.offer for option in options(model.types, set())]
+    offers = [option.offer for option in rental_options(model.types, set())]
     useful = []
     for offer in offers:
         node = offered_machine(model.types, offer, -1)
--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -49,7 +49,7 @@
     price: float
 
 
-def options(types: dict[str, MachineType], blocked: set[Offer]) -> list[RentalOption]:
+def rental_options(types: dict[str, MachineType], blocked: set[Offer]) -> list[RentalOption]:
     """All that may be rented now, at present prices; `blocked` offers are left out."""
     found = []
     for entry in types.values():
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -19,7 +19,7 @@
     wait_s_by_class,
 )
 from badgerseam.fleet.cloud import CloudClient
-from badgerseam.fleet.demand import Offer, offered_machine, options
+from badgerseam.fleet.demand import Offer, offered_machine, rental_options
 from badgerseam.fleet.evacuation import Evacuation
 from badgerseam.fleet.machine_list import MIN_CHARGED_S, MachineList
 from badgerseam.fleet.machine_moves import MachineMoves, TransferMachines
@@ -189,7 +189,7 @@
             {machine.index for machine in empty} if may_move else set(),
             {machine.index for machine in empty if self._is_idle(machine, now)},
             reserves,
-            options(model.types, blocked),
+            rental_options(model.types, blocked),
             MAX_RENTALS_AT_ONCE,
             boot_s,
             self._request_of,
