--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -9,7 +9,7 @@
 
 from badgerseam.clock import Clock
 from badgerseam.explain.text import pluralize
-from badgerseam.fleet.boot_times import SPREAD
+from badgerseam.fleet.boot_times import USUAL_BOOT_FACTOR
 from badgerseam.fleet.demand import Offer, offered_machine, rental_options
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
@@ -107,7 +107,7 @@
     machine_type = model.types.get(machine.type)
     if machine.attempts or machine_type is None:
         return None
-    left_s = machine.rented_at + SPREAD * machine_type.boot_s - wall
+    left_s = machine.rented_at + USUAL_BOOT_FACTOR * machine_type.boot_s - wall
     if left_s <= 0:
         return None
     offer = Offer(machine.type, machine.zone, machine.spot)
--- a/badgerseam/fleet/boot_times.py
+++ b/badgerseam/fleet/boot_times.py
@@ -14,7 +14,7 @@
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 
-SPREAD = 1.5
+USUAL_BOOT_FACTOR = 1.5
 """How many times the stated duration a boot usually takes at most."""
 OUTLIER_FACTOR = 1.3
 """How many times as long as nearly all recent boots one takes before it is an outlier."""
@@ -105,7 +105,7 @@
             return MAX_WAIT_FACTOR * stated_s
         durations.sort()
         nearly_all_s = durations[int(QUANTILE * (len(durations) - 1))]
-        return max(SPREAD * stated_s, OUTLIER_FACTOR * nearly_all_s)
+        return max(USUAL_BOOT_FACTOR * stated_s, OUTLIER_FACTOR * nearly_all_s)
 
     def is_overdue(self, machine: Machine) -> bool:
         """Whether a machine should have booted by now, so that no work should wait for it."""
@@ -115,7 +115,7 @@
         # What other owners receive from it the list shows later.
         lag_s = LIST_LAG_FACTOR * self._model.settings.params.cloud.list_lag_s
         # The stated duration first: it does not need the other boots.
-        if age_s <= SPREAD * self.stated_s(machine.type) + lag_s:
+        if age_s <= USUAL_BOOT_FACTOR * self.stated_s(machine.type) + lag_s:
             return False
         return age_s > self.usual_s(machine) + lag_s
 
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -10,7 +10,7 @@
 from badgerseam.background import BackgroundTasks
 from badgerseam.cluster.membership import Membership
 from badgerseam.fleet import policy
-from badgerseam.fleet.boot_times import SPREAD, BootTimes
+from badgerseam.fleet.boot_times import USUAL_BOOT_FACTOR, BootTimes
 from badgerseam.fleet.capacity_reserve import (
     CapacityReserve,
     capacity_reserves,
@@ -220,7 +220,7 @@
         return capacity_reserves(
             arrivals,
             self._wait_s_by_class,
-            SPREAD * boot_s,
+            USUAL_BOOT_FACTOR * boot_s,
             now,
             window_s,
             self._spreads,
