--- a/badgerseam/__init__.py
+++ b/badgerseam/__init__.py
@@ -1,3 +1,3 @@
-"""badgerseam: a preemption-aware cluster scheduler after the GFS paper."""
+"""badgerseam: a preemption-aware cluster scheduler based on the GFS paper."""
 
 __version__ = "0.1.0"
--- a/badgerseam/__main__.py
+++ b/badgerseam/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m badgerseam`."""
+"""Entry point of `python -m badgerseam`."""
 
 import sys
 
--- a/badgerseam/clock.py
+++ b/badgerseam/clock.py
@@ -1,4 +1,4 @@
-"""Clocks and random numbers, injected so that tests can script them."""
+"""Clocks and random numbers, injected so that tests can control them."""
 
 from __future__ import annotations
 
@@ -7,17 +7,20 @@
 
 
 class Clock:
-    """The clocks of the process; tests replace it."""
+    """The monotonic clock and the wall clock of the process; tests inject a fake one."""
 
     def now(self) -> float:
-        """Seconds of the steady clock, for durations and deadlines."""
+        """Returns the monotonic clock in seconds, for durations and deadlines."""
         return time.monotonic()
 
     def wall(self) -> float:
-        """Seconds since the epoch, off by no more than the settings' `time_bound_ms`."""
+        """Returns the wall clock in seconds since the epoch.
+
+        Its error is at most `time_bound_ms` of the settings.
+        """
         return time.time()
 
 
 def make_random(seed: int | None = None) -> random.Random:
-    """A random source for jitter and request names."""
+    """Returns a random number generator for jitter and request names."""
     return random.Random(seed)
--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -1,4 +1,4 @@
-"""The composition root of one controller: its parts, put together, and the tasks that run them."""
+"""The composition root of a controller: creates its components and runs their tasks."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from badgerseam.cluster.membership import Membership
 from badgerseam.cluster.peers import Peers
 from badgerseam.cluster.watch_health import WatchHealth
-from badgerseam.controller_loops import ChangeReview, DrivenParts, PeriodicReview
+from badgerseam.controller_loops import ChangeReview, PeriodicReview, ReviewedComponents
 from badgerseam.explain.explainer import Explainer
 from badgerseam.fleet.cloud import CloudClient
 from badgerseam.fleet.machine_transfer import MachineTransfer
@@ -58,16 +58,16 @@
 log = logging.getLogger("badgerseam")
 
 IDLE_SOCKETS_FRACTION = 0.2
-"""Part of the sockets that idle connections may take; the rest is for incoming ones."""
+"""Maximum fraction of the sockets for idle outgoing connections; the rest is for incoming ones."""
 FREE_SOCKETS_FRACTION = 0.1
-"""Part of the sockets that stays free for new connections: a controller that is alone with a fleet
-that takes most of its sockets keeps fewer connections idle."""
+"""Fraction of the sockets that stays free for new connections. When a large fleet uses most of the
+sockets of the only running controller, that controller keeps fewer idle connections."""
 MIN_IDLE_CONNECTIONS = 16
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutParts:
-    """The parts that upgrade a site and its records step by step."""
+class RolloutComponents:
+    """The components that upgrade the level of a site and migrate its records."""
 
     level_upgrade: LevelUpgrade
     page_refresh: PageRefresh
@@ -76,10 +76,11 @@
 
 
 class Controller:
-    """Builds the parts; `run` drives them until cancelled.
+    """Creates the components; `run` runs them until it is cancelled.
 
-    A part of an optional feature is None unless the operators' options have its section. Parts may
-    draw from `random` while they are built, so the order below decides what each of them draws.
+    The component of an optional feature is None unless the operators' options have its section.
+    Components may draw numbers from `random` while they are created, so that the order of creation
+    decides which numbers each of them gets.
     """
 
     def __init__(
@@ -117,22 +118,22 @@
         self.watch_health = self._create_watch_health()
         self.standby = self._create_standby(random)
         self.stale_pages = stale_page_rewriter(self.model, self.ledger, self.committer)
-        self.rollout = self._create_rollout_parts()
+        self.rollout = self._create_rollout_components()
         self.run_index = self._create_run_index()
         self.runs = self._create_run_lifecycle()
         self.api = self._create_user_api()
-        self._driven = self._collect_driven_parts()
-        self._change_review = ChangeReview(self._driven)
+        self._components = self._collect_components()
+        self._change_review = ChangeReview(self._components)
 
     async def run(self) -> None:
-        """Serve until cancelled; a loop that fails ends the process."""
+        """Serves requests until cancelled; a background loop that fails ends the process."""
         self._listen()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.state_watcher.run())
             group.create_task(self.membership.keep_lease())
-            group.create_task(self.fleet.machine_types.keep_published())
-            group.create_task(self.fleet.machine_list.keep_compared())
-            group.create_task(self.fleet.keep_fleet())
+            group.create_task(self.fleet.machine_types.run())
+            group.create_task(self.fleet.machine_list.run())
+            group.create_task(self.fleet.run())
             group.create_task(self.peers.keep_health())
             if self.standby is not None:
                 group.create_task(self.standby.keep())
@@ -145,10 +146,10 @@
             if self.accounts is not None and self.accounts.log is not None:
                 group.create_task(self.accounts.log.run_forever())
             counts_s = self.tunables.counts_s
-            group.create_task(PeriodicReview(self._driven, self._change_review, counts_s).run())
+            group.create_task(PeriodicReview(self._components, self._change_review, counts_s).run())
 
     def _listen(self) -> None:
-        """Open the users' and the peers' address."""
+        """Starts listening on the user API address and on the peer address."""
         users = self._network.server(cast(Handler, self.api.dispatch))
         users.listen(self.settings.api_addr)
         peers = self._network.server(self.peers.handle)
@@ -160,14 +161,14 @@
             self.settings.api_addr,
         )
 
-    # ---- what the parts call back ----
+    # ---- callbacks for the components ----
 
     def schedule_review(self) -> None:
-        """Something has changed; run a review soon, once for all changes until then."""
+        """Schedules one review for all changes that arrive before it runs."""
         self._change_review.schedule()
 
     def _idle_connection_limit(self) -> int:
-        """How many connections may be kept idle now."""
+        """Returns how many outgoing connections may be kept idle now."""
         sockets = self.settings.params.machine_limits.sockets
         return max(
             MIN_IDLE_CONNECTIONS,
@@ -184,29 +185,29 @@
         return sum(server.open_requests for server in self._servers)
 
     def _on_level_support(self, is_supported: bool) -> None:
-        """This program has begun, or ceased, to support the site's level."""
+        """Handles a change of whether this version of the program supports the site's level."""
         if is_supported:
             self.membership.mark_available(UnavailableReason.UNSUPPORTED_LEVEL)
         else:
             self.membership.deactivate()
 
-    def _better_served_elsewhere(self) -> str | None:
-        """Why users are better served elsewhere than here; None if nobody is known to be better."""
+    def _redirect_reason(self) -> str | None:
+        """Returns why a peer can serve users better; None if no such peer is known."""
         if self.heartbeat_proxy.partition.is_partitioned:
-            return "a share of ours has a later owner"
+            return "another controller has taken over an owned shard"
         if self.peers.is_isolated:
-            return "nobody answers us"
+            return "neither the state service nor any peer responds"
         return self.peers.peer_with_state_service()
 
     def _cloud_view(self) -> CloudView | None:
-        """The leader's view of the cloud; None if this controller does not lead."""
-        return self.fleet.view() if self.membership.is_leader else None
+        """Returns the leader's view of the cloud; None if this controller is not the leader."""
+        return self.fleet.cloud_view() if self.membership.is_leader else None
 
     def _process_name(self) -> str:
-        # The lease's number makes it one that no other process has had.
+        # The number of the lease makes the name unique among all processes.
         return f"{self.settings.node}-{self.membership.lease}"
 
-    # ---- parts that are always there ----
+    # ---- required components ----
 
     def _create_state_client(self, random: Random) -> StateClient:
         settings = self.settings
@@ -251,7 +252,7 @@
         )
 
     def _create_peers(self) -> Peers:
-        """The requests between controllers; claims pass from one to another by them."""
+        """Creates the peer protocol and connects it to the membership for takeovers of claims."""
         peers = Peers(self.model, self._http, self.machine_transfer, self.state, self.write_rate)
         peers.accept_takeovers_with(self.membership.take_over_claim)
         self.membership.request_takeover = peers.request_takeover
@@ -288,7 +289,7 @@
             self.ledger,
             self.membership,
             self.worker_manager,
-            self._better_served_elsewhere,
+            self._redirect_reason,
             self._create_explain_api(),
             self._create_batch_api(),
             self._create_accounting_api(),
@@ -298,9 +299,9 @@
             self.tunables.replicas,
         )
 
-    def _collect_driven_parts(self) -> DrivenParts:
+    def _collect_components(self) -> ReviewedComponents:
         rollout = self.rollout
-        return DrivenParts(
+        return ReviewedComponents(
             model=self.model,
             membership=self.membership,
             planner=self.planner,
@@ -409,12 +410,12 @@
         self.worker_manager.on_redirected_worker = standby.failure_detector.on_redirected_worker
         return standby
 
-    def _create_rollout_parts(self) -> RolloutParts | None:
+    def _create_rollout_components(self) -> RolloutComponents | None:
         model, membership, committer = self.model, self.membership, self.committer
         options = self.tunables.rollout
         if options is None:
             return None
-        return RolloutParts(
+        return RolloutComponents(
             LevelUpgrade(model, membership, committer, options),
             PageRefresh(model, self.ledger, committer),
             RecordMigration(model, membership, self.state, committer, RECORD_FORMATS),
@@ -422,16 +423,16 @@
         )
 
     def _create_rollout_api(self) -> RolloutApi | None:
-        parts = self.rollout
-        if parts is None:
+        components = self.rollout
+        if components is None:
             return None
         return RolloutApi(
             self.model,
             self.membership,
-            parts.level_upgrade,
-            parts.handover,
-            parts.page_refresh,
-            parts.migration,
+            components.level_upgrade,
+            components.handover,
+            components.page_refresh,
+            components.migration,
         )
 
     def _create_run_index(self) -> RunIndex | None:
--- a/badgerseam/controller_loops.py
+++ b/badgerseam/controller_loops.py
@@ -1,4 +1,4 @@
-"""What drives a controller's parts: a review after each change, and one at a fixed interval."""
+"""Loops that run a controller's components: a review after each change and a periodic one."""
 
 from __future__ import annotations
 
@@ -33,31 +33,32 @@
 log = logging.getLogger("badgerseam")
 
 TICK_S = 0.2
-"""Interval of the periodic review."""
+"""Seconds between periodic reviews."""
 PUSH_TICKS = 4
-"""Ticks in which each machine that owes an acknowledgement is pushed to once."""
+"""Ticks between pushes to a machine from which an acknowledgement is awaited."""
 SWEEP_TICKS = 16
-"""Ticks in which every machine is pushed to once: a multiple of PUSH_TICKS, and about a heartbeat
-interval, since the response to a heartbeat holds all commands as well."""
+"""Ticks between pushes to any machine: a multiple of PUSH_TICKS and about one heartbeat interval,
+since the response to a heartbeat also contains all commands."""
 SUMMARY_TICKS = 5
 """Ticks between searches for cancelled jobs without a summary."""
 RELEASE_TICKS = 2
 """Ticks between searches for machines whose transfer can be finished."""
 PLAN_DELAY_S = 0.004
-"""Gathers what arrives together before it is planned."""
+"""Delay of a review after a change, so that changes that arrive together are planned together."""
 PLAN_TIME_FRACTION = 0.3
-"""Part of the time that plans may take: with a long backlog and a full fleet each task that ends
-calls for a plan that can start little. They get rarer then, and each serves all that ended
-meanwhile."""
+"""Maximum fraction of the time spent on planning. With a long backlog and a full fleet, every task
+that ends requires a plan that can start only a few tasks; plans then run less often, and each one
+covers all tasks that have ended since the previous one."""
 MAX_PLAN_PAUSE_S = 0.25
-"""A process that was suspended in the middle of a plan must not pause for a multiple of that."""
+"""Maximum pause between plans, so that a process that was suspended during a plan does not pause
+for a multiple of the suspension."""
 MAX_PLANNING_LEASE_AGE_S = 5.0
-"""Nothing is planned once the controller's lease was last confirmed longer ago than this."""
+"""Maximum time since the last confirmation of the controller's lease for planning to continue."""
 
 
 @dataclass(frozen=True, slots=True)
-class DrivenParts:
-    """The parts of one controller that its reviews call; optional ones are None if switched off."""
+class ReviewedComponents:
+    """The components that the reviews of a controller call; disabled optional ones are None."""
 
     model: Model
     membership: Membership
@@ -79,45 +80,45 @@
 
 
 class ChangeReview:
-    """Reacts to changes: claims, plans, writes and pushes, once for all that arrive together."""
+    """Handles changes that arrive together in one review: claims, plans, writes and pushes."""
 
-    def __init__(self, parts: DrivenParts) -> None:
-        self._parts = parts
-        self._model = parts.model
-        self._clock = parts.model.clock
+    def __init__(self, components: ReviewedComponents) -> None:
+        self._components = components
+        self._model = components.model
+        self._clock = components.model.clock
         self._review_timer: asyncio.TimerHandle | None = None
         self._plan_timer: asyncio.TimerHandle | None = None
-        """Set while planning pauses; its end plans what has been noted meanwhile."""
+        """Set while planning is paused; when it fires, the shards marked since then are planned."""
 
     def schedule(self) -> None:
-        """Run a review soon; several calls before it runs lead to one."""
+        """Schedules a review; several calls before it runs result in one review."""
         if self._review_timer is None:
             loop = asyncio.get_running_loop()
             self._review_timer = loop.call_later(PLAN_DELAY_S, self._review)
 
     def _review(self) -> None:
         self._review_timer = None
-        self._parts.membership.review()
-        if self._parts.standby is not None:
-            self._parts.standby.step()
+        self._components.membership.review()
+        if self._components.standby is not None:
+            self._components.standby.step()
         if self._plan_timer is None:
             self._plan()
-        self._parts.ledger.flush()
+        self._components.ledger.flush()
         with self._model.lock:
             self._push_commands()
 
     def _push_commands(self) -> None:
         model = self._model
         indexes, model.machines_to_push = model.machines_to_push, set()
-        # Of what one plan has placed on many machines, the higher classes' launches go first.
+        # If one plan placed tasks on many machines, launches of higher classes are pushed first.
         ordered = indexes if model.class_of is None else sorted(indexes, key=self._first_launch)
         for index in ordered:
             machine = model.machines.get(index)
             if machine is not None:
-                self._parts.worker_manager.push(machine)
+                self._components.worker_manager.push(machine)
 
     def _first_launch(self, index: int) -> tuple[int, int]:
-        """Rank, negated, and priority class of the first task to be launched on a machine."""
+        """Returns the negated rank and the priority class of a machine's first pending launch."""
         machine = self._model.machines.get(index)
         attempts = () if machine is None else machine.attempts.values()
         waiting = (a for a in attempts if a.stage == Stage.PLACED and not a.sent)
@@ -126,11 +127,11 @@
         )
 
     def _plan(self) -> None:
-        """Plan for the shards that something has changed for."""
-        model, standby, replicas = self._model, self._parts.standby, self._parts.replicas
+        """Runs the planner for the shards that are marked for planning."""
+        model, standby, replicas = self._model, self._components.standby, self._components.replicas
         started_at = self._clock.now()
         if standby is not None and not standby.gate.is_steady():
-            # What has to be planned stays noted.
+            # The shards stay marked for planning.
             return
         with model.lock:
             if replicas is not None:
@@ -138,18 +139,18 @@
             indexes, model.shards_to_plan = model.shards_to_plan, set()
             for index in indexes:
                 if self._may_plan(model.shards[index]):
-                    self._parts.planner.run(model.shards[index])
+                    self._components.planner.run(model.shards[index])
         self._pause_planning(self._clock.now() - started_at)
 
     def _may_plan(self, shard: Shard) -> bool:
         return (
             shard.owned
             and not shard.releasing
-            and self._parts.membership.lease_confirmed_within(MAX_PLANNING_LEASE_AGE_S)
+            and self._components.membership.lease_confirmed_within(MAX_PLANNING_LEASE_AGE_S)
         )
 
     def _pause_planning(self, duration_s: float) -> None:
-        """Keep planning within its part of the time, after plans that took `duration_s`."""
+        """Pauses planning after plans that took `duration_s`, to keep PLAN_TIME_FRACTION."""
         pause_s = duration_s * (1.0 / PLAN_TIME_FRACTION - 1.0)
         if pause_s > PLAN_DELAY_S:
             loop = asyncio.get_running_loop()
@@ -164,59 +165,64 @@
 
 
 class PeriodicReview:
-    """Does what only the passing of time calls for, and what has to be tried again."""
-
-    def __init__(self, parts: DrivenParts, changes: ChangeReview, counts_s: float) -> None:
-        """`counts_s`: interval in seconds at which the shards' counts are written."""
-        self._parts = parts
-        self._model = parts.model
+    """Runs time-dependent work and retries at a fixed interval."""
+
+    def __init__(
+        self, components: ReviewedComponents, changes: ChangeReview, counts_s: float
+    ) -> None:
+        """Creates the review; `counts_s` is the seconds between writes of the shards' counts."""
+        self._components = components
+        self._model = components.model
         self._changes = changes
         self._counts_ticks = max(1, round(counts_s / TICK_S))
         self._tasks = BackgroundTasks()
 
     async def run(self) -> None:
-        """Review every `TICK_S`, until cancelled."""
+        """Runs a review every `TICK_S` until cancelled."""
         tick = 0
         while True:
             await asyncio.sleep(TICK_S)
             tick += 1
-            self._parts.write_rate.review()
+            self._components.write_rate.review()
             with self._model.lock:
                 self._review(tick)
             self._changes.schedule()
 
     def _review(self, tick: int) -> None:
-        self._note_shards_to_plan()
+        self._mark_shards_to_plan()
         self._review_workers()
-        self._note_machines_to_push(tick)
+        self._mark_machines_to_push(tick)
         self._start_transfers()
         self._review_records(tick)
-        if tick % RELEASE_TICKS == 0 and self._parts.machine_transfer.releasable():
-            self._tasks.spawn(self._parts.machine_transfer.release_finished())
+        if tick % RELEASE_TICKS == 0 and self._components.machine_transfer.releasable():
+            self._tasks.spawn(self._components.machine_transfer.release_finished())
         if tick % self._counts_ticks == 0:
             self._write_counts()
 
-    def _note_shards_to_plan(self) -> None:
+    def _mark_shards_to_plan(self) -> None:
         for shard in self._model.shards:
             if shard.owned:
                 self._model.shards_to_plan.add(shard.index)
 
     def _review_workers(self) -> None:
-        parts = self._parts
+        components = self._components
         if lacks_addresses(self._model):
-            parts.fleet.machine_list.learn_addresses()
-        parts.worker_manager.heartbeat_reception.check()
-        parts.watch_health.check()
-        parts.heartbeat_proxy.review()
-        parts.worker_manager.expire_leases()
-        parts.worker_manager.probe_unresponsive()
+            components.fleet.machine_list.learn_addresses()
+        components.worker_manager.heartbeat_reception.check()
+        components.watch_health.check()
+        components.heartbeat_proxy.review()
+        components.worker_manager.expire_leases()
+        components.worker_manager.probe_unresponsive()
         drain(
-            self._model, None if parts.replicas is None else parts.replicas.may_stay_while_draining
+            self._model,
+            None if components.replicas is None else components.replicas.may_stay_while_draining,
         )
 
-    def _note_machines_to_push(self, tick: int) -> None:
-        """Spread the machines over the ticks. What changes is pushed when it does; this is for what
-        has to be tried again."""
+    def _mark_machines_to_push(self, tick: int) -> None:
+        """Marks machines for retried pushes, spread over the ticks.
+
+        Changes are pushed as soon as they occur; this covers only what has to be sent again.
+        """
         for shard in self._model.shards:
             if shard.owned:
                 self._model.machines_to_push.update(
@@ -226,29 +232,29 @@
                 )
 
     def _start_transfers(self) -> None:
-        for machine, shard in self._parts.machine_transfer.evacuated():
+        for machine, shard in self._components.machine_transfer.evacuated():
             self._tasks.spawn(self._transfer(machine, shard))
 
     async def _transfer(self, machine: Machine, shard: int) -> None:
-        await self._parts.machine_transfer.transfer([machine], shard)
+        await self._components.machine_transfer.transfer([machine], shard)
 
     def _review_records(self, tick: int) -> None:
-        parts = self._parts
-        if parts.level_upgrade is not None:
-            parts.level_upgrade.review()
-        if parts.classes is not None:
-            parts.classes.review()
+        components = self._components
+        if components.level_upgrade is not None:
+            components.level_upgrade.review()
+        if components.classes is not None:
+            components.classes.review()
         if tick % SUMMARY_TICKS == 0:
-            parts.ledger.write_summaries()
-            parts.stale_pages.review()
-            if parts.page_refresh is not None:
-                parts.page_refresh.review()
+            components.ledger.write_summaries()
+            components.stale_pages.review()
+            if components.page_refresh is not None:
+                components.page_refresh.review()
 
     def _write_counts(self) -> None:
         for shard in self._model.shards:
             if shard.owned:
-                self._tasks.spawn(self._parts.ledger.write_counts(shard))
-        log.debug("commit statistics reported %s", self._parts.committer.report())
+                self._tasks.spawn(self._components.ledger.write_counts(shard))
+        log.debug("commit statistics reported %s", self._components.committer.report())
 
 
 def _is_push_due(tick: int, index: int, machine: Machine) -> bool:
--- a/badgerseam/errors.py
+++ b/badgerseam/errors.py
@@ -1,7 +1,7 @@
-"""The base of all errors that this package raises on purpose."""
+"""The base class of the errors that this package raises."""
 
 from __future__ import annotations
 
 
 class BadgerseamError(Exception):
-    """An expected failure; the message says what was refused, and why."""
+    """An expected failure; the message says what was rejected and why."""
--- a/badgerseam/fleet/boot_times.py
+++ b/badgerseam/fleet/boot_times.py
@@ -56,7 +56,7 @@
         """Machines with a lower index are known, or were there before we led: how long these took
         is not known."""
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Another controller leads."""
         self._booting.clear()
         self._first_unseen = self._model.next_machine
@@ -76,7 +76,7 @@
                 del self._booting[index]
                 self._add_boot(machine, model.clock.wall() - machine.rented_at)
 
-    def listed_up(self, machine: Machine, age_s: float, interval_s: float) -> None:
+    def record_listed_boot(self, machine: Machine, age_s: float, interval_s: float) -> None:
         """Note that the cloud lists a machine of another owner as running for the first time.
 
         `age_s`: its age; `interval_s`: time since the last list.
@@ -93,7 +93,7 @@
         entry = self._model.types.get(type_name)
         return UNKNOWN_BOOT_S if entry is None else entry.boot_s
 
-    def usual_s(self, machine: Machine) -> float:
+    def max_expected_s(self, machine: Machine) -> float:
         """The age up to which a machine is waited for, by the boots since it was rented."""
         durations = []
         for boot in reversed(self._boots.get(machine.type, ())):
@@ -117,9 +117,9 @@
         # The stated duration first: it does not need the other boots.
         if age_s <= USUAL_BOOT_FACTOR * self.stated_s(machine.type) + lag_s:
             return False
-        return age_s > self.usual_s(machine) + lag_s
+        return age_s > self.max_expected_s(machine) + lag_s
 
     def never_boots(self, machine: Machine, age_s: float) -> bool:
         """Whether a machine that is listed as booting at an age counts as one that never boots."""
         max_age_s = NEVER_FACTOR * self.stated_s(machine.type)
-        return age_s > min(GIVE_UP_FACTOR * self.usual_s(machine), max_age_s)
+        return age_s > min(GIVE_UP_FACTOR * self.max_expected_s(machine), max_age_s)
--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -13,22 +13,24 @@
 CROWDED_ZONE_WEIGHT = 0.02
 """How much each task of a job in a zone adds to the price there, if the job spreads over zones."""
 
-Level = tuple[int, int]
+PriorityKey = tuple[int, int]
 """Rank, negated, and priority class: the lowest goes first, across shards too."""
 
 
-def level_of(request: pts.Request) -> Level:
+def priority_key(request: pts.Request) -> PriorityKey:
     """What decides between shards, where priority classes are declared."""
     return -request.rank, request.priority_class
 
 
 def _demand_order(request: pts.Request) -> tuple[float, ...]:
-    return (*level_of(request), request.order)
+    return (*priority_key(request), request.order)
 
 
 def in_priority_order(requests: list[pts.Request]) -> list[pts.Request]:
     """Requests by level, where priority classes are declared; else in the given order."""
-    return sorted(requests, key=level_of) if any(r.priority_class for r in requests) else requests
+    return (
+        sorted(requests, key=priority_key) if any(r.priority_class for r in requests) else requests
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,10 +104,10 @@
     def __bool__(self) -> bool:
         return bool(self._unplaced)
 
-    def is_useful(self, node: pts.MachineSnapshot, level: Level | None) -> bool:
+    def is_useful(self, node: pts.MachineSnapshot, level: PriorityKey | None) -> bool:
         """Whether any task of a level would fit on an empty machine; True if no level is given."""
         return level is None or any(
-            level_of(tasks.request) == level and self._count_fitting(tasks, node, node.free) > 0
+            priority_key(tasks.request) == level and self._count_fitting(tasks, node, node.free) > 0
             for tasks in self._unplaced
         )
 
--- a/badgerseam/fleet/machine_list.py
+++ b/badgerseam/fleet/machine_list.py
@@ -38,22 +38,22 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         cloud: CloudClient,
         boot_times: BootTimes,
         scale_out: ScaleOut,
         scale_in: ScaleIn,
         spawn: Callable[[Awaitable[object]], None],
-        changed: Callable[[], None],
+        schedule_review: Callable[[], None],
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._cloud = cloud
         self._boot_times = boot_times
         self._scale_out = scale_out
         self._scale_in = scale_in
         self._spawn = spawn
-        self._changed = changed
+        self._schedule_review = schedule_review
         self._clock = model.clock
         self.has_listed = False
         """A list was seen under this leadership."""
@@ -62,24 +62,24 @@
         self._interval_s = MIN_LIST_INTERVAL_S
         self._addresses_requested_at = -1e9
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Another controller leads."""
         self.has_listed = False
 
-    async def keep_compared(self) -> None:
+    async def run(self) -> None:
         """Compare the cloud's list with the records from time to time, for ever."""
         params = self._model.settings.params.cloud
         # Rentals need the calls more than a list that lags behind anyway.
         self._interval_s = max(MIN_LIST_INTERVAL_S, params.list_lag_s, CALLS_PER_LIST / params.rps)
         while True:
-            if self._member.is_leader and self._model.loaded:
+            if self._membership.is_leader and self._model.loaded:
                 requested_at = self._clock.wall()
                 try:
                     listed = await self._cloud.machines()
                 except CloudError as error:
                     log.debug("machine list not fetched error=%s", error)
                 else:
-                    if self._member.is_leader:
+                    if self._membership.is_leader:
                         self.compare(listed, requested_at)
                         self.has_listed = True
             await asyncio.sleep(self._interval_s)
@@ -115,7 +115,7 @@
         machine.address = machine.address or entry.addr
         if entry.state == "running" and not machine.listed_up:
             machine.listed_up = True
-            self._boot_times.listed_up(machine, entry.age_s, self._interval_s)
+            self._boot_times.record_listed_boot(machine, entry.age_s, self._interval_s)
         if entry.state == "failed":
             log.info("machine failed machine=%s", entry.id)
             return True
@@ -162,4 +162,4 @@
                 if machine is not None and not machine.address:
                     machine.address = entry.addr
                     self._model.machines_to_push.add(machine.index)
-        self._changed()
+        self._schedule_review()
--- a/badgerseam/fleet/machine_moves.py
+++ b/badgerseam/fleet/machine_moves.py
@@ -57,7 +57,7 @@
         try:
             done = await self._transfer_machines(machines, shard, evacuate)
             if passes_on:
-                await self._wait_until_followed(machines, done, shard)
+                await self._wait_until_replicated(machines, done, shard)
             self._drop_arriving(names)
             if evacuate:
                 # Their owner passes them on when their work has been stopped.
@@ -73,7 +73,7 @@
             self.in_progress -= names
             self._drop_arriving(names)
 
-    async def _wait_until_followed(
+    async def _wait_until_replicated(
         self, machines: list[Machine], names: set[str], shard: int
     ) -> None:
         """Return when the replica of the state shows that machines have been moved.
--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -33,7 +33,7 @@
         self._machine_records = machine_records
         self._planner = planner
 
-    async def rewrite(
+    async def reassign_records(
         self, machines: list[Machine], shard: int, patience_s: float = 0.0
     ) -> set[str]:
         """Move the records of one shard's machines to a shard, if we still own the former one.
@@ -82,7 +82,7 @@
         async def give_up(machines: list[Machine], patience_s: float) -> None:
             """Mark the records of machines of one shard to be released."""
             try:
-                await self.rewrite(machines, NO_SHARD, patience_s)
+                await self.reassign_records(machines, NO_SHARD, patience_s)
             finally:
                 for machine in machines:
                     machine.releasing = False
@@ -122,7 +122,7 @@
                     machine.evacuate_to = None
                     machine.draining = machine.transferring = True
                     passed_on.append(machine)
-        written = await self.rewrite(passed_on, shard)
+        written = await self.reassign_records(passed_on, shard)
         for machine in passed_on:
             machine.transferring = False
             if machine.name not in written:
--- a/badgerseam/fleet/machine_types.py
+++ b/badgerseam/fleet/machine_types.py
@@ -34,27 +34,27 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         committer: GroupCommitter,
         cloud: CloudClient,
         random: Random,
-        changed: Callable[[], None],
+        schedule_review: Callable[[], None],
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._committer = committer
         self._cloud = cloud
         self._random = random
-        self._changed = changed
+        self._schedule_review = schedule_review
 
-    async def keep_published(self) -> None:
+    async def run(self) -> None:
         """Fetch and publish the types from time to time, for ever."""
         while True:
             pause_s = RETRY_INTERVAL_S
-            if self._member.is_leader or not self._model.types:
+            if self._membership.is_leader or not self._model.types:
                 try:
                     await self.publish(await self._cloud.types())
-                    if self._member.is_leader:
+                    if self._membership.is_leader:
                         pause_s = REFRESH_INTERVAL_S
                 except CloudError as error:
                     log.debug("machine types not fetched error=%s", error)
@@ -65,7 +65,7 @@
         """Store types if they have changed; without leadership only use them."""
         model = self._model
         claim = model.leader_claim
-        is_leader = claim is not None and self._member.is_leader
+        is_leader = claim is not None and self._membership.is_leader
         is_known = {entry.name: entry for entry in types} == model.types
         # Types that a leader knows from before it led are not durable yet: a controller that was
         # started again while the cloud was unreachable had none, and used no machine.
@@ -76,7 +76,7 @@
             with model.lock:
                 if not model.types:
                     model.set_types(types)
-            self._changed()
+            self._schedule_review()
             return
         try:
             revision = await self._committer.commit(
@@ -89,4 +89,4 @@
             return
         with model.lock:
             model.apply(TYPES_KEY, value, revision)
-        self._changed()
+        self._schedule_review()
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -62,7 +62,7 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         committer: GroupCommitter,
         machine_records: MachineRecords,
         cloud: CloudClient,
@@ -70,30 +70,34 @@
         tunables: Tunables,
         random: Random,
         transfer_machines: TransferMachines,
-        changed: Callable[[], None],
+        schedule_review: Callable[[], None],
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._cloud = cloud
         self._planner = planner
         self._tunables = tunables
         self._clock = model.clock
         self._tasks = BackgroundTasks()
         self.scale_out = ScaleOut(
-            model, member, committer, machine_records, cloud, self._spawn, changed
+            model, membership, committer, machine_records, cloud, self._spawn, schedule_review
+        )
+        self.scale_in = ScaleIn(
+            model, membership, machine_records, cloud, self._spawn, schedule_review
         )
-        self.scale_in = ScaleIn(model, member, machine_records, cloud, self._spawn, changed)
         self.boot_times = BootTimes(model)
-        self.machine_types = MachineTypePublisher(model, member, committer, cloud, random, changed)
+        self.machine_types = MachineTypePublisher(
+            model, membership, committer, cloud, random, schedule_review
+        )
         self.machine_list = MachineList(
             model,
-            member,
+            membership,
             cloud,
             self.boot_times,
             self.scale_out,
             self.scale_in,
             self._spawn,
-            changed,
+            schedule_review,
         )
         self._moves = MachineMoves(model.clock, transfer_machines, self._spawn)
         self._evacuation = Evacuation(model, planner)
@@ -117,15 +121,15 @@
 
         self._tasks.spawn(guarded())
 
-    async def keep_fleet(self) -> None:
+    async def run(self) -> None:
         """Rent, move and release machines, a few times a second, for ever."""
         took_s = 0.0
         while True:
             pause_s = max(MIN_ROUND_INTERVAL_S, took_s / ROUND_TIME_FRACTION)
             await asyncio.sleep(min(pause_s, MAX_ROUND_INTERVAL_S))
-            if not self._member.is_leader or not self._model.loaded:
-                self.boot_times.forget()
-                self.machine_list.forget()
+            if not self._membership.is_leader or not self._model.loaded:
+                self.boot_times.reset()
+                self.machine_list.reset()
                 # What was seen under a former leadership may have been released since.
                 self._model.unregistered.clear()
                 continue
@@ -136,7 +140,7 @@
                 log.exception("fleet round failed")
             took_s = self._clock.now() - began
 
-    def view(self) -> CloudView:
+    def cloud_view(self) -> CloudView:
         """What the leader knows of the cloud, for other controllers."""
         now = self._clock.now()
         blocked = [
@@ -241,7 +245,7 @@
 
     def _start_consolidation(self, decisions: policy.FleetDecisions, now: float) -> None:
         """Have machines emptied whose replicas fit on others."""
-        for index, shard in decisions.evacuate:
+        for index, shard in decisions.consolidations:
             consolidated_at = self._consolidated_at.get(shard, -1e9)
             if now - consolidated_at >= self._tunables.consolidate_s:
                 self._consolidated_at[shard] = now
@@ -277,7 +281,7 @@
         nodes = [
             planner.node(machine, now)
             for machine in self._model.shard_machines[shard.index].values()
-            if self._counts_on(machine, shard, now)
+            if self._counts_as_capacity(machine, shard, now)
         ]
         # While the write of a move lagged, a machine was rented for the same need.
         for name, target in self._moves.arriving.items():
@@ -290,7 +294,7 @@
             planner.classes.reserve_capacity(shard, snapshot, leading=True)
         return snapshot
 
-    def _counts_on(self, machine: Machine, shard: Shard, now: float) -> bool:
+    def _counts_as_capacity(self, machine: Machine, shard: Shard, now: float) -> bool:
         """Whether a machine of a shard is usable, or will be soon."""
         if machine.name in self._moves.in_progress:
             return False
--- a/badgerseam/fleet/policy.py
+++ b/badgerseam/fleet/policy.py
@@ -7,7 +7,7 @@
 
 from badgerseam.fleet.capacity_reserve import CapacityReserve
 from badgerseam.fleet.consolidation import RequestOf, machine_to_empty
-from badgerseam.fleet.demand import Level, Offer, RentalOption, UnplacedDemand, level_of
+from badgerseam.fleet.demand import Offer, PriorityKey, RentalOption, UnplacedDemand, priority_key
 from badgerseam.model.job import HIGH_RANK
 from badgerseam.model.resources import NOTHING, Resources
 from badgerseam.sched import pts
@@ -25,7 +25,7 @@
     """Machines to be rented, with the shard that needs them."""
     surplus: list[int] = field(default_factory=list)
     """Empty machines that nothing needs."""
-    evacuate: list[tuple[int, int]] = field(default_factory=list)
+    consolidations: list[tuple[int, int]] = field(default_factory=list)
     """Machines whose replicas fit on others, with their shard."""
     waiting: list[dict[int, int]] = field(default_factory=list)
     """For each shard the unplaced tasks by job."""
@@ -78,7 +78,7 @@
 
     def move_spare_machines(self, cautious_below: int | None) -> None:
         """Move empty machines to the shards in which work waits."""
-        levels = _waiting_levels(self._snapshots, self._plans, cautious_below)
+        levels = _waiting_priorities(self._snapshots, self._plans, cautious_below)
         order = sorted(
             range(len(self._snapshots)),
             key=lambda shard: _shard_order(self._snapshots[shard], self._plans[shard], levels),
@@ -93,7 +93,7 @@
             for shard, unplaced in self._unplaced.items():
                 self._move_to(shard, unplaced, level)
 
-    def _move_to(self, shard: int, unplaced: UnplacedDemand, level: Level | None) -> None:
+    def _move_to(self, shard: int, unplaced: UnplacedDemand, level: PriorityKey | None) -> None:
         for node, origin in list(self._spare.values()):
             if not unplaced or len(self.result.moves) >= self._max_machines:
                 break
@@ -184,12 +184,12 @@
             now = self._snapshots[shard].now
             node = machine_to_empty(plan.nodes, self._free, now, request_of)
             if node is not None:
-                self.result.evacuate.append((node.index, shard))
+                self.result.consolidations.append((node.index, shard))
 
 
-def _waiting_levels(
+def _waiting_priorities(
     snapshots: list[pts.Snapshot], plans: list[pts.Plan], cautious_below: int | None
-) -> list[Level] | None:
+) -> list[PriorityKey] | None:
     """The levels of waiting work, the first one first; None where no classes are declared."""
     if not any(request.priority_class for snapshot in snapshots for request in snapshot.requests):
         return None
@@ -202,15 +202,17 @@
             claims_guarantee = team.used.plus(request.demand).fits_in(team.guarantee)
             is_cautious = cautious_below is not None and request.priority_class > cautious_below
             if claims_guarantee or not is_cautious:
-                levels.add(level_of(request))
+                levels.add(priority_key(request))
     return sorted(levels)
 
 
-def _shard_order(snapshot: pts.Snapshot, plan: pts.Plan, levels: list[Level] | None) -> Level:
+def _shard_order(
+    snapshot: pts.Snapshot, plan: pts.Plan, levels: list[PriorityKey] | None
+) -> PriorityKey:
     """Which shard gets machines first: that of the highest rank, or level of waiting work."""
     if levels is None:
         return -max((request.rank for request in snapshot.requests), default=-1), 0
-    waiting = (level_of(r) for r in snapshot.requests if r.job in plan.waiting)
+    waiting = (priority_key(r) for r in snapshot.requests if r.job in plan.waiting)
     return min(waiting, default=(1, 0))
 
 
--- a/badgerseam/fleet/scale_in.py
+++ b/badgerseam/fleet/scale_in.py
@@ -29,18 +29,18 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         machine_records: MachineRecords,
         cloud: CloudClient,
         spawn: Callable[[Awaitable[object]], None],
-        changed: Callable[[], None],
+        schedule_review: Callable[[], None],
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._machine_records = machine_records
         self._cloud = cloud
         self._spawn = spawn
-        self._changed = changed
+        self._schedule_review = schedule_review
         self.in_progress: set[str] = set()
         """Names of machines that are being released."""
         self._queue: list[str] = []
@@ -94,9 +94,9 @@
                     machines,
                     lambda _: None,
                     (LEADER_KEY, claim.version),
-                    lambda: self._member.is_leader,
+                    lambda: self._membership.is_leader,
                     patience_s,
                 )
-                self._changed()
+                self._schedule_review()
         finally:
             self.in_progress.difference_update(m.name for m in machines)
--- a/badgerseam/fleet/scale_out.py
+++ b/badgerseam/fleet/scale_out.py
@@ -41,20 +41,20 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         committer: GroupCommitter,
         machine_records: MachineRecords,
         cloud: CloudClient,
         spawn: Callable[[Awaitable[object]], None],
-        changed: Callable[[], None],
+        schedule_review: Callable[[], None],
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._committer = committer
         self._machine_records = machine_records
         self._cloud = cloud
         self._spawn = spawn
-        self._changed = changed
+        self._schedule_review = schedule_review
         self._clock = model.clock
         self.blocked: dict[Offer, tuple[float, float]] = {}
         """Offers without capacity: until when they are not requested, and for how long that was."""
@@ -78,7 +78,7 @@
     def request_rental(self, shards: list[int], offer: Offer) -> None:
         """Rent one machine of an offer for each of the shards named."""
         claim = self._model.leader_claim
-        if self._member.lease is None or claim is None:
+        if self._membership.lease is None or claim is None:
             return
         name = self._next_name()
         rental = wire.StoredRental(
@@ -91,12 +91,12 @@
     def _next_name(self) -> str:
         self._serial += 1
         # The lease makes the names ones that no other process has used.
-        return f"{self._member.node}-{self._member.lease}-{self._serial}"
+        return f"{self._membership.node}-{self._membership.lease}-{self._serial}"
 
     def _is_still_leader(self, version: int) -> bool:
         """Whether this controller leads under the claim of that version."""
         claim = self._model.leader_claim
-        return claim is not None and claim.version == version and self._member.lease is not None
+        return claim is not None and claim.version == version and self._membership.lease is not None
 
     # ---- rentals ----
 
@@ -119,7 +119,7 @@
                 # No other process uses the name, so that an earlier attempt was executed. Not
                 # counted until the replica shows it, the same need was requested under a second
                 # name.
-                await self._wait_until_followed(name, version)
+                await self._wait_until_replicated(name, version)
             if name not in model.rentals:
                 log.debug("rental not persisted rental=%s error=%r", name, error)
                 self.in_progress.discard(name)
@@ -128,7 +128,7 @@
             self.requesting.pop(name, None)
         await self.complete_rental(name, rental)
 
-    async def _wait_until_followed(self, name: str, version: int) -> None:
+    async def _wait_until_replicated(self, name: str, version: int) -> None:
         """Return when the replica shows a rental that is known to be durable."""
         while name not in self._model.rentals and self._is_still_leader(version):
             await asyncio.sleep(FOLLOW_INTERVAL_S)
@@ -148,7 +148,7 @@
         count = len(rental.shards)
         request = cloud_wire.RentalRequest(name, rental.type, rental.zone, rental.spot, count)
         pause_s = MIN_RETRY_INTERVAL_S
-        while self._member.is_leader:
+        while self._membership.is_leader:
             if name in self._completed:
                 # Its record was written once more after its end.
                 self._on_rented(name, rental, [], 0)
@@ -195,7 +195,7 @@
             wire.StoredMachine(machine, shard, rental.type, rental.zone, rental.spot, "", rented_at)
             for machine, shard in zip(machines, rental.shards, strict=False)
         ]
-        while self._member.is_leader:
+        while self._membership.is_leader:
             # Some may have been adopted already, from a heartbeat or the list, or are just being:
             # they must not be recorded twice.
             with self._model.lock:
@@ -284,12 +284,12 @@
                         part,
                         conditions,
                         deletions,
-                        lambda: self._member.is_leader,
+                        lambda: self._membership.is_leader,
                     )
         except WRITE_ERRORS as error:
             log.debug("machines not recorded rental=%s error=%r", rental, error)
             return False
         finally:
             self.recording.difference_update(row.name for row in rows)
-            self._changed()
+            self._schedule_review()
         return True
--- a/badgerseam/logs.py
+++ b/badgerseam/logs.py
@@ -1,4 +1,4 @@
-"""Logging to standard error, at the level that LOG_LEVEL sets."""
+"""Logging to standard error, at the level given by LOG_LEVEL."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def configure(level: str) -> None:
-    """Set up logging; ValueError for a level that is none of LEVELS."""
+    """Configures logging; raises ValueError if the level is not one of LEVELS."""
     if level not in LEVELS:
-        raise ValueError(f"LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}")
+        raise ValueError(f"LOG_LEVEL: unknown level {level!r}; use one of {', '.join(LEVELS)}")
     logging.basicConfig(
         stream=sys.stderr, level=LEVELS[level], format="%(levelname)s %(name)s %(message)s"
     )
--- a/badgerseam/settings.py
+++ b/badgerseam/settings.py
@@ -1,4 +1,4 @@
-"""The settings file the platform hands over, and the operators' own tunables."""
+"""The settings file that the platform provides, and the operators' options file (tunables)."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class SettingsError(BadgerseamError):
-    """The settings cannot be used; the message names the field."""
+    """The settings or options are invalid; the message names the field."""
 
 
 class Sibling(Struct, frozen=True):
-    """Another controller of the site (a peer)."""
+    """The address and zone of another controller of the site (a peer)."""
 
     node: Name
     zone: str
@@ -42,7 +42,7 @@
 
 
 class Team(Struct, frozen=True):
-    """A team's quota: guaranteed resources, and the most that it may use (`_max`; 0: no limit)."""
+    """A team's quota: guaranteed resources and usage limits (`_max`; see `limits` for 0)."""
 
     name: Name
     cpus: Amount
@@ -52,10 +52,10 @@
 
     @property
     def limits(self) -> tuple[float, float]:
-        """Processors and accelerators that its tasks may use at most.
+        """The limits on the CPUs and GPUs that the team's tasks use together.
 
-        0 stands for none. Where both are 0, that is no limit: read as "nothing", it would refuse
-        all jobs of a guest team without a guarantee.
+        If only one limit is 0, the team may use none of that resource. If both are 0, the team has
+        no limit; otherwise all jobs of a guest team without a guarantee would be rejected.
         """
         if self.cpus_max or self.gpus_max:
             return self.cpus_max, self.gpus_max
@@ -68,45 +68,46 @@
     kind: str
     job_class: str | None = field(default=None, name="class")
     required_fraction: float | None = None
-    """`share` in the file: the part of the cases that must meet the objective."""
+    """Fraction of the cases that must meet the objective; `share` in the settings file."""
     within_s: float | None = None
     times: float | None = None
 
 
 class WorkerParams(Struct, frozen=True):
-    """Times of the workers' protocol, in seconds."""
+    """Timing of the worker protocol, in seconds."""
 
     report_s: Positive
-    """Interval of heartbeats."""
+    """Seconds between heartbeats of a worker."""
     lease_s: Positive
-    """How long a worker keeps its tasks without an answer."""
+    """Seconds that a worker keeps its tasks running without a response to its heartbeats."""
     cancel_s: Positive
-    """Within which time the tasks of a cancelled job must have ended."""
+    """Seconds within which the tasks of a cancelled job must end."""
 
 
 class StateParams(Struct, frozen=True):
     """Limits of the state service."""
 
     rps: Positive
-    """Requests a second, of all controllers together."""
+    """Requests per second of all controllers together."""
     write_rps: Positive
-    """Changes a second, of all controllers together."""
+    """Writes per second of all controllers together."""
     value_kb: Positive
-    """Size of a value."""
+    """Maximum size of a value, in KB."""
     txn_ops: Count
-    """Operations of a transaction."""
+    """Maximum number of operations in a transaction."""
 
 
 class CloudParams(Struct, frozen=True):
-    """Limits of the cloud's interface."""
+    """Limits of the cloud's API."""
 
     rps: Positive
+    """Requests per second."""
     list_lag_s: Amount
-    """How much older than the truth its list of machines may be, in seconds."""
+    """Seconds by which its list of machines may be out of date."""
 
 
 class MachineLimits(Struct, frozen=True):
-    """Limits of the controller's own machine."""
+    """Limits of the machine that the controller runs on."""
 
     sockets: Count = 1024
 
@@ -126,7 +127,7 @@
 
 
 class Settings(Struct, frozen=True):
-    """The platform's settings file of one controller."""
+    """The settings file that the platform provides for one controller."""
 
     node: Name
     zone: str
@@ -138,165 +139,204 @@
 
 
 class ExplainOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """Why a job waits: answered on every controller if this section is there."""
+    """Explanations of why a job waits; enabled on every controller if this section is present."""
 
     questions_per_s: Annotated[
-        float, Meta(gt=0, le=1000, description="questions a controller admits a second")
+        float, Meta(gt=0, le=1000, description="questions that a controller accepts per second")
     ] = 20.0
     processor_part: Annotated[
         float,
-        Meta(gt=0, le=0.5, description="part of a core that surveys of a shard may take"),
+        Meta(gt=0, le=0.5, description="fraction of a CPU core that surveys of a shard may use"),
     ] = 0.05
     slice_ms: Annotated[
-        float, Meta(gt=0, le=50, description="how long a survey holds the event loop at a time")
+        float,
+        Meta(
+            gt=0, le=50, description="milliseconds that a survey may block the event loop at a time"
+        ),
     ] = 4.0
     most_age_s: Annotated[
         float,
-        Meta(ge=0, description="age of a survey that still serves when the part is used up"),
+        Meta(
+            ge=0,
+            description="maximum age of a survey that is reused once processor_part is used up",
+        ),
     ] = 5.0
     sample_s: Annotated[
         float,
-        Meta(ge=0, description="interval of surveys of all that waits; 0: only on request"),
+        Meta(ge=0, description="interval between surveys of all waiting jobs; 0: only on request"),
     ] = 0.0
     gap_s: Annotated[
         float,
-        Meta(gt=0, description="surveys further apart than this are not counted as one period"),
+        Meta(
+            gt=0,
+            description="longest gap between surveys that count as one continuous period",
+        ),
     ] = 4.0
-    most_jobs: Annotated[int, Meta(ge=1, description="jobs whose transitions are kept")] = 2000
-    most_transitions: Annotated[int, Meta(ge=2, description="transitions kept of each")] = 16
+    most_jobs: Annotated[
+        int, Meta(ge=1, description="maximum number of jobs whose transitions are kept")
+    ] = 2000
+    most_transitions: Annotated[
+        int, Meta(ge=2, description="maximum number of transitions kept for each job")
+    ] = 16
 
 
 class BatchOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """Terms of batch jobs and job numbers, for Slurm-style commands, if this section is there."""
+    """Batch jobs and job numbers for Slurm-style commands; enabled if this section is present."""
 
     numbers_per_s: Annotated[
-        float, Meta(gt=0, le=1000, description="job numbers a controller hands out a second")
+        float, Meta(gt=0, le=1000, description="job numbers that a controller assigns per second")
     ] = 50.0
 
 
 class AccountingOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """What jobs used, kept with their final records, if this section is there."""
+    """Resource usage of jobs, kept with their final records; enabled if this section is present."""
 
     most_jobs: Annotated[
-        int, Meta(ge=1, description="ended jobs that a controller can list; totals outlive them")
+        int,
+        Meta(
+            ge=1,
+            description="ended jobs that a controller can list; totals are kept longer",
+        ),
     ] = 100_000
-    attempts: Annotated[bool, Meta(description="keep a log of attempts as well")] = True
+    attempts: Annotated[bool, Meta(description="also keep a log of attempts")] = True
     log_s: Annotated[
-        float, Meta(gt=0, description="interval of writing the log, one value a shard")
+        float, Meta(gt=0, description="interval between writes of the log, one value per shard")
     ] = 10.0
-    log_days: Annotated[float, Meta(gt=0, description="how long the log is kept")] = 90.0
+    log_days: Annotated[float, Meta(gt=0, description="days for which the log is kept")] = 90.0
 
 
 class RolloutOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """The level of the stored state rises by itself when every controller can act at the next one,
-    and operators can have controllers leave, if this section is there. Without it a site stays at
-    its level, whichever that is, and is kept by its fences all the same."""
+    """Automatic upgrades of the level (the format version of the stored state) and draining of
+    controllers by operators; enabled if this section is present.
+
+    The level is raised once every controller supports the next one. Without this section the site
+    stays at its current level, and the checks that fence off controllers that do not support that
+    level still apply.
+    """
 
     steady_s: Annotated[
         float,
-        Meta(ge=0, description="how long every controller must have been there before a raise"),
+        Meta(
+            ge=0,
+            description="seconds for which every controller must have been present before a raise",
+        ),
     ] = 10.0
 
 
 class Tunables(Struct, frozen=True, forbid_unknown_fields=True):
-    """Operators' own settings. Times are in seconds unless the name says otherwise."""
+    """The operators' options. Times are in seconds unless the name says otherwise."""
 
-    claim_ttl_s: Annotated[float, Meta(ge=1, le=60, description="state lease of a controller")] = (
-        4.0
+    claim_ttl_s: Annotated[
+        float, Meta(ge=1, le=60, description="TTL of a controller's lease in the state service")
+    ] = 4.0
+    beta: Annotated[float, Meta(ge=0, description="weight of wasted work in the eviction cost")] = (
+        0.5
     )
-    beta: Annotated[float, Meta(ge=0, description="weight of waste in the eviction cost")] = 0.5
-    window_s: Annotated[float, Meta(gt=0, description="window of waste and evictions")] = 60.0
-    move_s: Annotated[float, Meta(gt=0, description="interval of moves between shares")] = 0.2
-    counts_s: Annotated[float, Meta(gt=0, description="interval of writing G and F")] = 10.0
+    window_s: Annotated[
+        float, Meta(gt=0, description="window over which wasted work and evictions are measured")
+    ] = 60.0
+    move_s: Annotated[
+        float, Meta(gt=0, description="minimum interval between moves of machines between shards")
+    ] = 0.2
+    counts_s: Annotated[
+        float, Meta(gt=0, description="interval between writes of the counts G and F")
+    ] = 10.0
     done_delay_s: Annotated[
-        float, Meta(ge=0, le=2, description="how long finished tasks are gathered for one write")
+        float, Meta(ge=0, le=2, description="how long finished tasks are batched into one write")
     ] = 0.7
-    idle_s: Annotated[float, Meta(ge=0, description="idle time before a machine is returned")] = (
+    idle_s: Annotated[float, Meta(ge=0, description="idle time before a machine is released")] = (
         30.0
     )
     consolidate_s: Annotated[
         float,
         Meta(
             gt=0,
-            description="interval in which a shard's replicas are moved off one machine that "
-            "others have room for",
+            description="minimum interval between consolidations in a shard, each of which moves "
+            "the replicas off one machine if others have capacity for them",
         ),
     ] = 3.0
-    margin_s: Annotated[float, Meta(ge=0.5, description="slack on every safety bound")] = 2.0
+    margin_s: Annotated[
+        float,
+        Meta(ge=0.5, description="margin added to every safety-relevant time bound"),
+    ] = 2.0
     arrivals_s: Annotated[
-        float, Meta(gt=0, description="time in which an arrival's weight for the reserve fades")
+        float,
+        Meta(gt=0, description="time constant of the decay of an arrival's weight for the reserve"),
     ] = 60.0
     reserve_spread: Annotated[
         float,
         Meta(
             ge=0,
-            description="standard deviations of arrivals during a boot that are kept as free room "
-            "for classes that should start sooner than a machine boots",
+            description="free capacity reserved for classes that should start sooner than a "
+            "machine boots, in standard deviations of the arrivals during a boot",
         ),
     ] = 2.0
     reserve_guarantee: Annotated[
         float,
         Meta(
             ge=0,
-            description="part of the spread that is kept for classes that only the guarantee "
-            "covers, by the share of them that should start in time",
+            description="factor on the reserve for classes that only the guarantee objective "
+            "covers, which grows with the fraction of them that should start in time",
         ),
     ] = 0.5
     begin_s: Annotated[
         float,
         Meta(
             gt=0,
-            description="time in which also the largest jobs should begin; low-priority ones that "
-            "have waited for half of it go first, one at a time",
+            description="time within which even the largest jobs should start; low-priority ones "
+            "that have waited for half of it go first, one at a time",
         ),
     ] = 240.0
     explain: Annotated[
-        ExplainOptions | None, Meta(description="why a job waits; answered if this is there")
+        ExplainOptions | None,
+        Meta(description="explanations of why a job waits; enabled if present"),
     ] = None
 
     batch: Annotated[
         BatchOptions | None,
-        Meta(description="holds, begin times, throttles, dependencies, job numbers"),
+        Meta(description="batch jobs: holds, begin times, throttles, dependencies, job numbers"),
     ] = None
 
     accounting: Annotated[
-        AccountingOptions | None, Meta(description="what jobs used, lists and totals")
+        AccountingOptions | None, Meta(description="resource usage of jobs, as lists and totals")
     ] = None
 
     rollout: Annotated[
         RolloutOptions | None,
-        Meta(description="raising the level of the stored state; controllers that leave"),
+        Meta(description="upgrades of the stored state's level; draining of controllers"),
     ] = None
 
-    runs: Annotated[
-        RunsOptions | None, Meta(description="reckoning runs; kept if this is there")
-    ] = None
+    runs: Annotated[RunsOptions | None, Meta(description="reckoning runs; enabled if present")] = (
+        None
+    )
 
     classes: Annotated[
-        ClassesOptions | None, Meta(description="priority classes; kept if this is there")
+        ClassesOptions | None, Meta(description="priority classes; enabled if present")
     ] = None
 
     replicas: Annotated[
         ReplicasOptions | None,
-        Meta(description="replicas that span machines; kept if this is there"),
+        Meta(description="replicas that span machines; enabled if present"),
     ] = None
 
     standby: Annotated[
         StandbyOptions | None,
-        Meta(description="ended controllers are replaced sooner; whoever takes over is checked"),
+        Meta(
+            description="warm standby: faster takeover from ended controllers, with takeover checks"
+        ),
     ] = None
 
     may_ignore: Annotated[
         list[Name],
         Meta(
-            description="sections of this file that a program which does not know them may leave "
-            "out, so that an older one can be put back with it"
+            description="sections of this file that a version of the program that does not know "
+            "them may ignore, so that the program can be rolled back without changing this file"
         ),
     ] = field(default_factory=list)
 
 
 def load_settings(path: str) -> Settings:
-    """Read and check the settings file."""
+    """Reads and validates the settings file."""
     try:
         settings = msgspec.toml.decode(Path(path).read_bytes(), type=Settings)
     except OSError as error:
@@ -307,15 +347,15 @@
         raise SettingsError(f"{path}: not UTF-8: {error.reason}") from error
     names = [team.name for team in settings.params.teams]
     if len(set(names)) != len(names):
-        raise SettingsError(f"{path}: params.teams: a name is given twice")
+        raise SettingsError(f"{path}: params.teams: team names must be unique")
     workers = settings.params.workers
     if workers.cancel_s <= workers.lease_s + 2 * workers.report_s:
-        raise SettingsError(f"{path}: params.workers.cancel_s: must be well above lease_s")
+        raise SettingsError(f"{path}: params.workers.cancel_s: must exceed lease_s + 2 * report_s")
     return settings
 
 
 def load_tunables(path: str | None) -> Tunables:
-    """Read the operators' JSON, or give the defaults."""
+    """Reads the operators' options from a JSON file; returns the defaults if there is no path."""
     if path is None:
         return Tunables()
     try:
@@ -333,24 +373,26 @@
 
 
 def check_tunables(tunables: Tunables, settings: Settings, path: str | None) -> None:
-    """SettingsError for all that the operators' sections name and cannot have, each with its
-    field and its remedy."""
+    """Checks the sections of the options against the settings.
+
+    Raises SettingsError with one line for each problem: the field and how to correct it.
+    """
     teams = {team.name for team in settings.params.teams}
-    found: list[str] = []
+    problems: list[str] = []
     if tunables.runs is not None:
-        found += [f"runs.{text}" for text in runs.check(tunables.runs, teams)]
+        problems += [f"runs.{text}" for text in runs.check(tunables.runs, teams)]
     if tunables.classes is not None:
-        found += [f"classes.{text}" for text in classes.check(tunables.classes, teams)]
+        problems += [f"classes.{text}" for text in classes.check(tunables.classes, teams)]
     if tunables.replicas is not None:
-        found += [f"replicas.{text}" for text in replicas.check(tunables.replicas)]
+        problems += [f"replicas.{text}" for text in replicas.check(tunables.replicas)]
     if tunables.standby is not None:
-        found += [
+        problems += [
             f"standby.{text}" for text in standby.check(tunables.standby, tunables.claim_ttl_s)
         ]
-    if found:
-        raise SettingsError("\n".join(f"{path}: {text}" for text in found))
+    if problems:
+        raise SettingsError("\n".join(f"{path}: {text}" for text in problems))
 
 
 def tunables_schema() -> dict[str, Any]:
-    """The JSON Schema of the operators' settings."""
+    """Returns the JSON Schema of the operators' options."""
     return msgspec.json.schema(Tunables)
--- a/run.py
+++ b/run.py
@@ -1,4 +1,7 @@
-"""Start the service from a checkout: add the built dependencies, call the command line."""
+"""Runs the command line from a checkout, with the dependencies in target/deps on the path.
+
+Arguments that begin with --config or --options run the `serve` command.
+"""
 
 import sys
 from pathlib import Path
