--- a/badgerseam/fleet/__init__.py
+++ b/badgerseam/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Renting, returning and moving machines."""
+"""Renting, releasing and moving machines."""
--- a/badgerseam/fleet/capacity_reserve.py
+++ b/badgerseam/fleet/capacity_reserve.py
@@ -1,4 +1,4 @@
-"""How much capacity is reserved for work that should start sooner than a machine boots."""
+"""Computes the capacity reserved for work that should start sooner than a machine boots."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 from badgerseam.settings import Objective, Tunables
 
 ARRIVAL_WINDOWS = 4
-"""Windows after which an arrival does not count any more."""
-TYPICAL_QUANTILE = 0.8
-"""Standard deviations of arrivals that departures make up for (measured: no reserve was needed
-where four fifths are to start in time)."""
-MIN_QUANTILE = 0.5
-MAX_QUANTILE = 0.999
+"""Age, in windows, from which an arrival is ignored."""
+ABSORBED_DEVIATIONS = 0.8
+"""Standard deviations of the arrivals that are absorbed by capacity from departures. In
+measurements, no reserve was needed if four fifths of the work had to start in time."""
+MIN_REQUIRED_FRACTION = 0.5
+MAX_REQUIRED_FRACTION = 0.999
 
 
 @dataclass(slots=True)
 class CapacityReserve:
-    """Capacity to be reserved for a class whose tasks should start sooner than a machine boots."""
+    """Capacity to reserve for a class whose tasks should start sooner than a machine boots."""
 
     tasks: int
     demand: Resources
-    """Of each task."""
+    """Resources of each task."""
     rank: int
     spot: bool
     shard: int
-    """Where the class arrives, or most of it."""
+    """The shard in which all or most tasks of the class arrive."""
     pooled: bool
-    """Capacity in other shards will do."""
+    """Whether capacity in other shards counts as well."""
 
 
 class ReserveSpreads(NamedTuple):
-    """How many standard deviations of the arrivals are reserved."""
+    """The size of the reserves, in standard deviations of the arrivals."""
 
     guarantee: float
-    """For classes that only the guarantee covers."""
+    """For classes that only the guarantee objective covers."""
     objective: float
     """For classes with an objective of their own."""
 
 
 class _ClassArrivals(NamedTuple):
-    """Arrivals of one class for which there is one reserve."""
+    """Arrivals of one class that share one reserve."""
 
     shard: int
     pooled: bool
@@ -55,9 +55,10 @@
 
 
 def drop_old_arrivals(arrivals: deque[Arrival], now: float, window_s: float) -> None:
-    """Drop the arrivals that are too old to count.
+    """Removes arrivals that are too old to count.
 
-    They are nearly in order; one that is out of order is dropped when it is the first.
+    The arrivals are nearly sorted by time; an old one behind a newer one is removed once it is the
+    first.
     """
     while arrivals and now - arrivals[0].at > ARRIVAL_WINDOWS * window_s:
         arrivals.popleft()
@@ -72,20 +73,22 @@
     spreads: ReserveSpreads,
     class_of: Callable[[Arrival], int] | None = None,
 ) -> list[CapacityReserve]:
-    """The reserves that recent arrivals call for, by class.
+    """Returns the reserves that recent arrivals require, by class.
 
-    `waits`: how soon, in seconds, work of a class should start; None stands for any work within its
-    team's guarantee. `class_of`: the priority class of an arrival, where such are declared.
+    `waits`: seconds within which work of a class should start; the key None stands for any work
+    within its team's guarantee. `class_of`: returns the priority class of an arrival; None if
+    priority classes are not declared.
 
-    Departures make up for the mean of the arrivals. What is reserved is some standard deviations of
-    the tasks that arrive while a machine boots, as if jobs came at random. Older arrivals count
-    less, so that the reserve ends when no more of a class arrives.
+    On average, departures free enough capacity for the arrivals. The reserve covers deviations: a
+    number of standard deviations of the tasks that arrive during a boot, with jobs arriving as a
+    Poisson process. Older arrivals have less weight, so that the reserve shrinks to nothing once a
+    class stops arriving.
     """
     reserves = []
-    any_wait_s = waits.get(None, math.inf)
+    guarantee_wait_s = waits.get(None, math.inf)
     for job_class, recent in _by_class(arrivals, now, window_s, class_of):
         class_wait_s = waits.get(job_class, math.inf)
-        if min(class_wait_s, any_wait_s) >= boot_s:
+        if min(class_wait_s, guarantee_wait_s) >= boot_s:
             continue
         spread = spreads.objective if class_wait_s < boot_s else spreads.guarantee
         for shard, pooled, arrived in _by_shard(recent):
@@ -111,14 +114,14 @@
     window_s: float,
     class_of: Callable[[Arrival], int] | None,
 ) -> list[tuple[str, list[Arrival]]]:
-    """Recent arrivals by job class: the highest rank first, of a rank the first priority class."""
+    """Returns recent arrivals by job class, sorted by descending rank, then by priority class."""
     by_class: dict[str, list[Arrival]] = {}
     for arrival in arrivals:
         if now - arrival.at <= ARRIVAL_WINDOWS * window_s:
             by_class.setdefault(arrival.job_class, []).append(arrival)
 
     def order(item: tuple[str, list[Arrival]]) -> tuple[int, int]:
-        """The order of a class, by its latest arrival."""
+        """Returns the sort key of a job class, from its latest arrival."""
         last = item[1][-1]
         return -last.rank, 0 if class_of is None else class_of(last)
 
@@ -126,19 +129,22 @@
 
 
 def _by_shard(arrivals: list[Arrival]) -> list[_ClassArrivals]:
-    """The arrivals of one class, by the shard in which capacity is reserved for them."""
+    """Groups the arrivals of one class by the shard in which capacity is reserved for them."""
     by_shard: dict[int, list[Arrival]] = {}
     for arrival in arrivals:
         by_shard.setdefault(arrival.shard, []).append(arrival)
     if arrivals[-1].spot:
-        # Spot instances are empty and can be moved: one reserve serves all shards.
+        # Idle spot machines are empty and can be moved, so that one reserve serves all shards.
         most = max(by_shard, key=lambda shard: sum(a.tasks for a in by_shard[shard]))
         return [_ClassArrivals(most, True, arrivals)]
     return [_ClassArrivals(shard, False, arrived) for shard, arrived in by_shard.items()]
 
 
 def wait_s_by_class(objectives: Sequence[Objective]) -> dict[str | None, float]:
-    """How soon work of a class should start; None stands for work within a guarantee."""
+    """Returns the seconds within which work of a class should start, by class.
+
+    The key None stands for work within a guarantee.
+    """
     return {
         objective.job_class: objective.within_s
         for objective in objectives
@@ -148,16 +154,17 @@
 
 
 def reserve_spreads(objectives: Sequence[Objective], tunables: Tunables) -> ReserveSpreads:
-    """How much is reserved for the part of the starts that objectives require to be in time."""
+    """Returns the sizes of the reserves, from the fraction of starts that must be in time."""
     required = [
         objective.required_fraction or 0.0
         for objective in objectives
         if objective.kind == "guarantee"
     ]
-    # Of a normal distribution, so many deviations are needed for the part that is to start in time;
-    # departures make up for what operators accept to be late.
-    fraction = min(max(max(required, default=0.0), MIN_QUANTILE), MAX_QUANTILE)
-    deviations = max(0.0, NormalDist().inv_cdf(fraction) - TYPICAL_QUANTILE)
+    # The quantile of a normal distribution gives the deviations to cover so that the required
+    # fraction starts in time. Departures absorb ABSORBED_DEVIATIONS of them, which covers the work
+    # that operators allow to start late.
+    fraction = min(max(max(required, default=0.0), MIN_REQUIRED_FRACTION), MAX_REQUIRED_FRACTION)
+    deviations = max(0.0, NormalDist().inv_cdf(fraction) - ABSORBED_DEVIATIONS)
     return ReserveSpreads(
         guarantee=tunables.reserve_guarantee * deviations,
         objective=tunables.reserve_spread,
--- a/badgerseam/fleet/cloud.py
+++ b/badgerseam/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""Requests to the cloud, within its rate."""
+"""A client of the cloud's API that respects its rate limit."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from badgerseam.wire import cloud as wire
 
 RATE_FRACTION = 0.85
-"""Part of the cloud's rate limit that is used."""
+"""Fraction of the cloud's rate limit that is used."""
 BUDGET_SLACK_S = 0.01
 REQUEST_TIMEOUT_S = 4.0
 THROTTLED_PAUSE_S = 1.0
-"""After the cloud has refused a request by its rate limit."""
+"""Pause in seconds after the cloud has rejected a request with status 429 (rate limit)."""
 LIST_PAGE_SIZE = 500
 
 
 class CloudError(BadgerseamError):
-    """A request was not executed, or was not answered; it may be repeated."""
+    """A request was rejected, or its outcome is unknown; it may be retried."""
 
 
 class NoCapacityError(BadgerseamError):
-    """The cloud has no machine of the requested type, zone and kind now."""
+    """The cloud cannot provide machines of the requested type, zone and kind now."""
 
 
 class CloudClient:
-    """Client of the cloud: one method for each request of the protocol.
+    """A client of the cloud with one method for each request of the protocol.
 
-    Only the leader uses more than the machine types.
+    Controllers that are not the leader only request the machine types.
     """
 
     def __init__(self, clock: Clock, http: HttpClient, address: str, rps: float) -> None:
@@ -41,10 +41,10 @@
         self._clock = clock
         self.budget = RateBudget(clock, RATE_FRACTION * rps)
         self.last_error: tuple[float, str] | None = None
-        """Since when no request has been executed, and the latest error; None if all is well."""
+        """Start and latest error of the current series of failed requests; None without one."""
 
     async def wait_for_budget(self) -> None:
-        """Wait until a request may be sent at once."""
+        """Waits until a request can be sent immediately."""
         while self.budget.available() < 1.0:
             await asyncio.sleep(self.budget.wait_s() + BUDGET_SLACK_S)
 
@@ -52,12 +52,12 @@
         try:
             status, reply = await self._send(method, path, body)
         except CloudError as error:
-            self._note_outcome(str(error))
+            self._record_outcome(str(error))
             raise
-        self._note_outcome(str(status) if status >= 500 and b"no capacity" not in reply else None)
+        self._record_outcome(str(status) if status >= 500 and b"no capacity" not in reply else None)
         return status, reply
 
-    def _note_outcome(self, error: str | None) -> None:
+    def _record_outcome(self, error: str | None) -> None:
         if error is None:
             self.last_error = None
         else:
@@ -79,40 +79,42 @@
         return response.status, response.body
 
     async def types(self) -> list[wire.MachineType]:
-        """The machine types with their prices."""
+        """Returns the machine types with their prices."""
         status, body = await self._call("GET", "/flavors", None)
         if status != 200:
-            raise CloudError(f"types: {status}")
+            raise CloudError(f"machine types: status {status}")
         try:
             return wire.types_decoder.decode(body).types
         except msgspec.DecodeError as error:
-            raise CloudError(f"types: {error}") from error
+            raise CloudError(f"machine types: malformed response: {error}") from error
 
     async def rent(self, request: wire.RentalRequest) -> list[str]:
-        """Rent machines; the names of those rented, which may be fewer than requested.
+        """Rents machines; returns their names, which may be fewer than requested.
 
-        `NoCapacityError` if there are none, `CloudError` if the request has to be repeated.
+        Raises `NoCapacityError` if there are none, and `CloudError` if the request must be retried.
         """
         status, body = await self._call("POST", "/machines", wire.encode(request))
         if status == 200:
             try:
                 return wire.names_decoder.decode(body).machines
             except msgspec.DecodeError as error:
-                raise CloudError(f"rent: {error}") from error
+                raise CloudError(f"rental: malformed response: {error}") from error
         if status == 400 or (status == 503 and b"no capacity" in body):
-            raise NoCapacityError(f"{request.type} in {request.zone}: {status}")
-        raise CloudError(f"rent: {status}")
+            raise NoCapacityError(
+                f"no capacity: type {request.type} in zone {request.zone}: status {status}"
+            )
+        raise CloudError(f"rental: status {status}")
 
     async def release(self, names: list[str]) -> None:
-        """Delete machines; they and all tasks on them are gone when this returns."""
+        """Releases machines; when this returns, they are deleted and their tasks have ended."""
         status, _ = await self._call(
             "POST", "/machines/release", wire.encode(wire.MachineNames(names))
         )
         if status != 200:
-            raise CloudError(f"release: {status}")
+            raise CloudError(f"release of machines: status {status}")
 
     async def machines(self) -> list[wire.ListedMachine]:
-        """The list of all machines, which may lag behind."""
+        """Returns the list of all machines, which may be out of date."""
         listed: list[wire.ListedMachine] = []
         after = ""
         while True:
@@ -120,11 +122,11 @@
                 "GET", f"/machines?from={after}&limit={LIST_PAGE_SIZE}", None
             )
             if status != 200:
-                raise CloudError(f"list: {status}")
+                raise CloudError(f"machine list: status {status}")
             try:
                 page = wire.page_decoder.decode(body)
             except msgspec.DecodeError as error:
-                raise CloudError(f"list: {error}") from error
+                raise CloudError(f"machine list: malformed response: {error}") from error
             listed += page.machines
             if not page.more or not page.machines:
                 return listed
--- a/badgerseam/fleet/consolidation.py
+++ b/badgerseam/fleet/consolidation.py
@@ -1,6 +1,7 @@
-"""Which machine is emptied because others have capacity for the services on it.
+"""Selects a machine to drain because others have capacity for the services on it.
 
-As replicas leave, the rest are scattered over machines that are paid for whole.
+When replicas end, the remaining ones are spread over partly used machines, each of which is charged
+in full.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 from badgerseam.sched import pts
 
 SETTLED_S = 60.0
-"""How long replicas have run before they are moved, so that no start is undone soon."""
+"""Seconds for which replicas must have run before they are moved, to avoid early restarts."""
 MAX_CANDIDATES = 4
-"""Machines that are examined for each shard."""
+"""Maximum number of machines examined per shard."""
 MIN_IDLE_FRACTION = 0.5
-"""Part of a machine's slots that is idle before its work is moved."""
+"""Minimum fraction of a machine's slots that must be idle for its work to be moved."""
 
 RequestOf = Callable[[int], pts.Request | None]
-"""The request for a task of a job by its index; None if the job is gone."""
+"""Returns the request for one task of a job, given the job's index; None if the job is gone."""
 
 
 def machine_to_empty(
@@ -27,10 +28,10 @@
     now: float,
     request_of: RequestOf,
 ) -> pts.MachineSnapshot | None:
-    """The machine with the least on it, if that is replicas only and others have capacity for them.
+    """Returns the least used machine whose tasks are all replicas that fit on other machines.
 
-    `free` is what the reserve leaves over, by machine. Only machines that have the image count, so
-    that a move takes a moment.
+    `free`: the capacity that the reserves leave free, by machine. Only machines that already have
+    the image are targets, so that a move is quick. Returns None if there is no such machine.
     """
     busy = [node for node in nodes if node.running and node.index in free]
     candidates = sorted(
@@ -53,7 +54,7 @@
 def _is_movable(node: pts.MachineSnapshot, now: float) -> bool:
     return (
         node.idle_slots >= MIN_IDLE_FRACTION * node.slots
-        # A member of a replica that spans machines leaves with all others or not at all.
+        # The members of a replica that spans machines can only be moved together.
         and all(task.group is None for task in node.running)
         and all(task.is_service and now - task.placed_at > SETTLED_S for task in node.running)
     )
@@ -65,7 +66,7 @@
     free: dict[int, Resources],
     request_of: RequestOf,
 ) -> bool:
-    """Whether all tasks on a machine fit on the targets; `free` is used up by them."""
+    """Returns whether all tasks of a machine fit on the targets; reduces `free` accordingly."""
     zones_by_job: dict[int, dict[str, int]] = {}
     for task in node.running:
         job = task.key[0]
--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -1,4 +1,4 @@
-"""How many machines are missing, and of which type: pure functions over a snapshot."""
+"""Computes how many machines of which types are missing: pure functions of a snapshot."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from badgerseam.wire.cloud import MachineType
 
 SIZE_WEIGHT = 0.2
-"""A machine of twice the size may cost 2**SIZE_WEIGHT as much for each slot that will be used."""
+"""A machine of twice the size may cost 2**SIZE_WEIGHT times as much per slot that will be used."""
 CROWDED_ZONE_WEIGHT = 0.02
-"""How much each task of a job in a zone adds to the price there, if the job spreads over zones."""
+"""Fraction by which each task of a job in a zone raises the price there, for jobs that spread over
+zones."""
 
 PriorityKey = tuple[int, int]
-"""Rank, negated, and priority class: the lowest goes first, across shards too."""
+"""Sort key of negated rank and priority class: the lowest key goes first, also across shards."""
 
 
 def priority_key(request: pts.Request) -> PriorityKey:
-    """What decides between shards, where priority classes are declared."""
+    """Returns the sort key that orders work across shards if priority classes are declared."""
     return -request.rank, request.priority_class
 
 
@@ -27,7 +28,7 @@
 
 
 def in_priority_order(requests: list[pts.Request]) -> list[pts.Request]:
-    """Requests by level, where priority classes are declared; else in the given order."""
+    """Returns the requests by priority if priority classes are declared, else unchanged."""
     return (
         sorted(requests, key=priority_key) if any(r.priority_class for r in requests) else requests
     )
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """What can be rented from the cloud."""
+    """A kind of machine that can be rented: type, zone, and spot or on-demand."""
 
     type: str
     zone: str
@@ -44,7 +45,7 @@
 
 @dataclass(slots=True)
 class RentalOption:
-    """An offer with the size and the price of a machine."""
+    """An offer with the capacity and the price of one machine."""
 
     offer: Offer
     total: Resources
@@ -52,7 +53,7 @@
 
 
 def rental_options(types: dict[str, MachineType], blocked: set[Offer]) -> list[RentalOption]:
-    """All that may be rented now, at present prices; `blocked` offers are left out."""
+    """Returns the options for rentals at present prices, without the `blocked` offers."""
     found = []
     for entry in types.values():
         total = Resources(entry.cpus, entry.gpus, entry.memory_gb)
@@ -67,19 +68,19 @@
 
 @dataclass(slots=True)
 class _UnplacedTasks:
-    """Tasks of one request that have not been counted into a machine yet."""
+    """Tasks of one request that are not assigned to a machine yet."""
 
     request: pts.Request
     count: int
     zones: dict[str, int]
-    """The job's tasks by zone, those counted into machines included."""
+    """Number of the job's tasks by zone, including those assigned to machines here."""
 
 
 class UnplacedDemand:
-    """Tasks that were not placed, to be counted into machines one after the other.
+    """Unplaced tasks, which are assigned to machines one machine at a time to count those needed.
 
-    No plan is made here: only amounts and the jobs' own rules decide whether a machine serves, so
-    that hundreds of machines can be examined in one round.
+    This does not run the planner: only capacity and the jobs' own rules decide whether a task fits,
+    so that hundreds of machines can be examined in one round.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
             if r.gang_rules is None
         ]
         if len(self._unplaced) < len(found):
-            self._unplaced += _replicas(found, waiting)
+            self._unplaced += _unplaced_replicas(found, waiting)
             self._unplaced.sort(key=lambda tasks: _demand_order(tasks.request))
         self._quota_left = {index: team.limit.minus(team.used) for index, team in teams.items()}
         self._min_demand = least_of(tasks.request.demand for tasks in self._unplaced)
@@ -104,20 +105,24 @@
     def __bool__(self) -> bool:
         return bool(self._unplaced)
 
-    def is_useful(self, node: pts.MachineSnapshot, level: PriorityKey | None) -> bool:
-        """Whether any task of a level would fit on an empty machine; True if no level is given."""
-        return level is None or any(
-            priority_key(tasks.request) == level and self._count_fitting(tasks, node, node.free) > 0
+    def can_use(self, node: pts.MachineSnapshot, priority: PriorityKey | None) -> bool:
+        """Returns whether any task of a priority fits on an empty machine.
+
+        Without a priority this returns True and checks nothing.
+        """
+        return priority is None or any(
+            priority_key(tasks.request) == priority
+            and self._count_fitting(tasks, node, node.free) > 0
             for tasks in self._unplaced
         )
 
     def fill(self, node: pts.MachineSnapshot, free: Resources) -> int:
-        """Count tasks into the free capacity of a machine; how many fit."""
+        """Assigns tasks to the free capacity of a machine and returns how many fit."""
         placed = 0
         has_completed = False
         for tasks in self._unplaced:
-            # With a long backlog most machines have no capacity for any of it: checking all of it
-            # on each of them took a quarter of the leader's rounds.
+            # With a long backlog, most machines cannot take any task of it. Checking every request
+            # against every machine took a quarter of the time of the leader's rounds.
             if not self._min_demand.fits_in(free):
                 break
             count = self._count_fitting(tasks, node, free)
@@ -139,7 +144,7 @@
     def _count_fitting(
         self, tasks: _UnplacedTasks, node: pts.MachineSnapshot, free: Resources
     ) -> int:
-        """How many of the tasks fit into the free capacity of a machine and the team's limit."""
+        """Returns how many of the tasks fit into a machine's free capacity and the team's limit."""
         request = tasks.request
         if not request.demand.fits_in(free) or not pts.job_rules_allow(request, node, tasks.zones):
             return 0
@@ -153,13 +158,13 @@
         return count
 
     def rent(self, choices: list[RentalOption], max_machines: int) -> list[Offer]:
-        """What to rent for all tasks that are left, by the price of a slot that will be used."""
+        """Returns the offers to rent for the remaining tasks, by price per used slot."""
         rented: list[Offer] = []
         while self._unplaced and len(rented) < max_machines:
             first = self._unplaced[0]
             option = self._cheapest(first, choices)
             if option is None:
-                # Nothing can be had for it now, or its team may use no more.
+                # No option fits the tasks now, or their team has reached its limit.
                 self._unplaced.pop(0)
                 continue
             node = _empty_machine(option, -1)
@@ -173,7 +178,7 @@
         return rented
 
     def _count_allowed(self, node: pts.MachineSnapshot, max_count: int) -> int:
-        """How many of the tasks the jobs' rules allow on a machine, counted up to a maximum."""
+        """Returns how many tasks the jobs' rules allow on a machine; stops at `max_count`."""
         count = 0
         for tasks in self._unplaced:
             if count >= max_count:
@@ -183,32 +188,34 @@
         return count
 
     def _cheapest(self, first: _UnplacedTasks, choices: list[RentalOption]) -> RentalOption | None:
-        """The option of the least price for each task that will use it; None if there is none."""
+        """Returns the option with the lowest weighted price per task; None if no option fits."""
         best: RentalOption | None = None
         best_price = 0.0
         for option in choices:
             node = _empty_machine(option, -1)
             if self._count_fitting(first, node, option.total) <= 0:
                 continue
-            # What other tasks would use of it makes a large machine worth its price.
+            # A large machine is worth its price if other tasks use the rest of it.
             per_machine = first.request.demand.count_in(option.total)
-            users = min(per_machine, self._count_allowed(node, per_machine))
-            price = option.price / users
+            task_count = min(per_machine, self._count_allowed(node, per_machine))
+            price = option.price / task_count
             if first.request.zone_limit:
-                crowd = first.zones.get(option.offer.zone, 0)
-                price *= 1 + CROWDED_ZONE_WEIGHT * crowd
-            # A large machine holds images for more tasks, and leaves less capacity unused.
+                tasks_in_zone = first.zones.get(option.offer.zone, 0)
+                price *= 1 + CROWDED_ZONE_WEIGHT * tasks_in_zone
+            # On a large machine, more tasks share cached images and less capacity stays unused.
             price /= (option.total.gpus or option.total.cpus) ** SIZE_WEIGHT
             if best is None or price < best_price:
                 best, best_price = option, price
         return best
 
 
-def _replicas(requests: list[pts.Request], waiting: dict[int, int]) -> list[_UnplacedTasks]:
-    """The replicas that span machines and were not placed, each to be rented for as a whole."""
+def _unplaced_replicas(
+    requests: list[pts.Request], waiting: dict[int, int]
+) -> list[_UnplacedTasks]:
+    """Returns the unplaced replicas that span machines; each is rented for as a whole."""
     remaining = dict(waiting)
     found = []
-    # Of replicas that are alike the first ones were placed.
+    # Of identical replicas, the first ones were placed, so that the last ones are unplaced.
     for request in reversed(requests):
         rules = request.gang_rules
         if rules is None or remaining[request.job] <= 0:
@@ -247,7 +254,7 @@
 def offered_machine(
     types: dict[str, MachineType], offer: Offer, index: int
 ) -> pts.MachineSnapshot | None:
-    """A machine that is being rented, as if it were there; None if its type is not known."""
+    """Returns the snapshot of an empty machine of an offer; None if its type is unknown."""
     entry = types.get(offer.type)
     if entry is None:
         return None
--- a/badgerseam/fleet/evacuation.py
+++ b/badgerseam/fleet/evacuation.py
@@ -1,4 +1,4 @@
-"""Which machines of other shards are evacuated for work that cannot be placed in its own."""
+"""Selects machines to evacuate for work that cannot be placed in its own shard."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from badgerseam.sched.planner import Planner
 
 EVACUATION_INTERVAL_S = 3.0
-"""How long HP work, or a claim to a guarantee, waits before machines of another shard are
-evacuated, and the time between evacuations for one shard."""
+"""Seconds that HP work, or demand within a guarantee, waits before machines of another shard are
+evacuated; also the minimum time between evacuations for one shard."""
 MAX_EVACUATED = 4
-"""Machines evacuated at a time for one shard."""
+"""Maximum number of machines evacuated at a time for one shard."""
 
 
 class Evacuation:
-    """Selects machines to be evacuated for work of other shards.
+    """Selects machines to evacuate for work of other shards.
 
-    The paper's plan evicts within a shard. For HP work, and for what a team claims of its
-    guarantee, low-priority work and borrowers of other shards are in the way as well, where they
-    use all machines that would serve.
+    The paper's planner evicts only within a shard. If low-priority work or borrowers of other
+    shards use all suitable machines, HP work and demand within a team's guarantee can only start
+    after machines of those shards are evacuated.
     """
 
     def __init__(self, model: Model, planner: Planner) -> None:
         self._model = model
         self._planner = planner
         self._evacuated_at: dict[int, float] = {}
-        """By the shard for which machines were evacuated."""
+        """Time of the last evacuation, by the shard for which machines were evacuated."""
 
     def select(
         self,
@@ -38,10 +38,10 @@
         moving: set[str],
         now: float,
     ) -> dict[int, list[Machine]]:
-        """Machines to be evacuated, by the shard that is to get them.
+        """Returns the machines to evacuate, by the shard that will get them.
 
-        None for a shard for which machines are rented. `moving`: names of machines that are on
-        their way to a shard already.
+        Selects none for a shard for which machines are being rented. `moving`: names of machines
+        that are already being moved.
         """
         selected: dict[int, list[Machine]] = {}
         borrowers: set[int] | None = None
@@ -67,7 +67,10 @@
     def _may_evacuate(
         self, snapshot: pts.Snapshot, request: pts.Request, waiting: dict[int, int], now: float
     ) -> bool:
-        """Whether machines may be evacuated for a request: HP work or a claim that has waited."""
+        """Returns whether a request justifies an evacuation.
+
+        It does if it is HP work, or within its team's guarantee, and has waited for long enough.
+        """
         job = self._model.jobs[request.job]
         if request.job not in waiting or job is None or job.is_failing:
             return False
@@ -79,7 +82,7 @@
         return team.used.plus(request.demand).fits_in(team.guarantee)
 
     def _borrowers(self) -> set[int]:
-        """Teams that use more than they are guaranteed."""
+        """Returns the indexes of the teams that use more than their guarantee."""
         model = self._model
         return {
             index
@@ -96,7 +99,7 @@
         moving: set[str],
         now: float,
     ) -> list[Machine]:
-        """The machines of other shards with the least waste that make `count` tasks fit."""
+        """Returns machines of other shards that fit `count` tasks and waste the least work."""
         candidates: list[tuple[float, int]] = []
         for machine in self._model.machines.values():
             if machine.shard == shard or machine.name in moving:
@@ -122,9 +125,10 @@
     def _may_be_evacuated(
         self, machine: Machine, request: pts.Request, borrowers: set[int]
     ) -> bool:
-        """Whether a request may have all work on a machine stopped.
+        """Returns whether all work on a machine may be stopped for a request.
 
-        HP work may that of low priority, any other request that of borrowers only.
+        HP work may displace low-priority work; other requests may displace only work of borrowers
+        that is of low priority.
         """
         if machine.dropped or machine.draining or machine.lost or not machine.attempts:
             return False
--- a/badgerseam/fleet/machine_list.py
+++ b/badgerseam/fleet/machine_list.py
@@ -1,4 +1,4 @@
-"""Compares the cloud's list of machines with the records of them."""
+"""Compares the cloud's list of machines with the machine records."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 log = logging.getLogger("badgerseam.fleet")
 
 MIN_CHARGED_S = 60.0
-"""The shortest time for which a machine is charged."""
+"""The minimum time for which a machine is charged."""
 MIN_LIST_INTERVAL_S = 1.5
 CALLS_PER_LIST = 4.0
-"""A list is requested at most once in the time of so many calls within the cloud's rate."""
+"""Requests that the rate limit must allow between two requests for the list."""
 MISSING_SLACK_S = 5.0
-"""How much longer than twice the list's lag a new machine may be missing from it."""
+"""Seconds beyond twice the lag of the list for which a new machine may be missing from it."""
 ADDRESSES_INTERVAL_S = 2.5
-"""Between requests for the addresses of machines that were taken over."""
+"""Seconds between requests for the addresses of machines that were taken over."""
 
 
 class MachineList:
-    """Keeps the records in line with the cloud's list, while this controller leads.
+    """Reconciles the machine records with the cloud's list while this controller is the leader.
 
-    Machines without a record are adopted; those that failed, never boot or are gone are released.
+    Machines without a record are adopted; machines that failed, never boot or are missing from the
+    list are released.
     """
 
     def __init__(
@@ -56,20 +57,20 @@
         self._schedule_review = schedule_review
         self._clock = model.clock
         self.has_listed = False
-        """A list was seen under this leadership."""
+        """Whether a list has been compared during this leadership."""
         self._missing_counts: dict[str, int] = {}
-        """Lists in a row that a machine was missing from, by name."""
+        """Number of consecutive lists from which a machine was missing, by name."""
         self._interval_s = MIN_LIST_INTERVAL_S
         self._addresses_requested_at = -1e9
 
     def reset(self) -> None:
-        """Another controller leads."""
+        """Discards the state of a leadership; called while this controller is not the leader."""
         self.has_listed = False
 
     async def run(self) -> None:
-        """Compare the cloud's list with the records from time to time, for ever."""
+        """Compares the cloud's list with the records at an interval, until cancelled."""
         params = self._model.settings.params.cloud
-        # Rentals need the calls more than a list that lags behind anyway.
+        # Rentals take precedence for the rate limit, since the list is out of date anyway.
         self._interval_s = max(MIN_LIST_INTERVAL_S, params.list_lag_s, CALLS_PER_LIST / params.rps)
         while True:
             if self._membership.is_leader and self._model.loaded:
@@ -85,7 +86,10 @@
             await asyncio.sleep(self._interval_s)
 
     def compare(self, listed: list[cloud_wire.ListedMachine], requested_at: float) -> None:
-        """Adopt, update and release machines by a list that was requested at a time of day."""
+        """Adopts, updates and releases machines according to a list.
+
+        `requested_at`: wall-clock time at which the list was requested.
+        """
         model = self._model
         unrecorded: list[wire.StoredMachine] = []
         to_release: list[str] = []
@@ -99,7 +103,7 @@
             listed_names = {entry.id for entry in listed}
             for machine in model.machines.values():
                 if self._count_missing(machine, listed_names, requested_at):
-                    log.info("machine not listed any more machine=%s", machine.name)
+                    log.info("machine missing from cloud list machine=%s", machine.name)
                     to_release.append(machine.name)
             self._scale_out.adopt_unrecorded(unrecorded)
         self._scale_in.release(to_release)
@@ -111,7 +115,7 @@
         )
 
     def _update_listed(self, machine: Machine, entry: cloud_wire.ListedMachine) -> bool:
-        """Note a listed machine's address and boot; whether it failed, or never boots."""
+        """Records a listed machine's address and boot; returns whether it failed or never boots."""
         machine.address = machine.address or entry.addr
         if entry.state == "running" and not machine.listed_up:
             machine.listed_up = True
@@ -121,7 +125,7 @@
             return True
         if entry.state != "booting" or machine.incarnation > 0:
             return False
-        # Its first minute is paid for in any case.
+        # The first minute is charged even if the machine is released earlier.
         never_boots = entry.age_s > MIN_CHARGED_S and self._boot_times.never_boots(
             machine, entry.age_s
         )
@@ -131,7 +135,7 @@
         return False
 
     def _count_missing(self, machine: Machine, listed_names: set[str], requested_at: float) -> bool:
-        """Count the lists that a machine is missing from; whether these are too many."""
+        """Counts the lists from which a machine is missing; returns whether it counts as gone."""
         lag_s = self._model.settings.params.cloud.list_lag_s
         if machine.name in listed_names:
             self._missing_counts.pop(machine.name, None)
@@ -140,11 +144,11 @@
             return False
         count = self._missing_counts.get(machine.name, 0) + 1
         self._missing_counts[machine.name] = count
-        # A list may be older than the one before, by up to twice the lag.
+        # A list may be older than the previous one, by up to twice the lag.
         return count * self._interval_s > 2 * lag_s
 
     def learn_addresses(self) -> None:
-        """Request the addresses of machines that were taken over, unless one did just now."""
+        """Requests the addresses of machines that were taken over, at a limited rate."""
         now = self._clock.now()
         if now - self._addresses_requested_at > ADDRESSES_INTERVAL_S:
             self._addresses_requested_at = now
--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -1,4 +1,4 @@
-"""The owner's part of scale in and of moves: giving up machines, or passing them on."""
+"""The shard owner's part of scale-in and of moves: releasing or transferring machines."""
 
 from __future__ import annotations
 
@@ -20,13 +20,14 @@
 log = logging.getLogger("badgerseam.fleet")
 
 EMPTY_PATIENCE_S = 3.0
-"""How long a drained and empty machine may wait to be given up, while writes are scarce."""
+"""Seconds for which the release of a drained, empty machine may be deferred while the write rate is
+limited."""
 NO_SHARD = -1
-"""The target of a machine that is to be released."""
+"""Target of machines that are to be released instead of moved to a shard."""
 
 
 class MachineTransfer:
-    """Gives up machines of the shards that this controller owns, or passes them on."""
+    """Releases or transfers machines of the shards that this controller owns."""
 
     def __init__(self, model: Model, machine_records: MachineRecords, planner: Planner) -> None:
         self._model = model
@@ -36,10 +37,11 @@
     async def reassign_records(
         self, machines: list[Machine], shard: int, patience_s: float = 0.0
     ) -> set[str]:
-        """Move the records of one shard's machines to a shard, if we still own the former one.
+        """Assigns the records of one shard's machines to a shard if this controller still owns the
+        former shard.
 
-        Returns the names for which that is durable. `patience_s`: how long it may take while writes
-        are scarce.
+        With NO_SHARD, marks the records for release. Returns the names whose change is durable.
+        `patience_s`: seconds for which the write may be deferred while the write rate is limited.
         """
         if not machines:
             return set()
@@ -49,10 +51,11 @@
         versions = {machine.name: machine.version for machine in machines}
 
         def edit(row: wire.StoredMachine) -> wire.StoredMachine:
-            """The record in its new shard, or as it is if it has changed meanwhile."""
+            """Returns the record in its new shard, or unchanged if it was modified since."""
             machine = self._model.machine(row.name)
             if machine is None or machine.version != versions[row.name]:
-                # It was moved by an unanswered write, and has come back since, perhaps with work.
+                # A write without a response moved the machine, and it has been moved back since,
+                # perhaps with work on it.
                 return row
             if row.shard != owner.index:
                 return row
@@ -70,39 +73,39 @@
         )
 
     async def release_finished(self) -> None:
-        """Give up machines that are lost, or drained and empty."""
+        """Marks machines for release that are lost, unresponsive, or drained and empty."""
         batches: dict[tuple[int, float], list[Machine]] = {}
         with self._model.lock:
             for machine in self.releasable():
                 machine.releasing = True
-                # Tasks of a machine that is lost, or does not answer, wait until it is gone.
+                # Tasks of a lost or unresponsive machine cannot restart until it is released.
                 patience_s = 0.0 if machine.lost or machine.given_up else EMPTY_PATIENCE_S
                 batches.setdefault((machine.shard, patience_s), []).append(machine)
 
-        async def give_up(machines: list[Machine], patience_s: float) -> None:
-            """Mark the records of machines of one shard to be released."""
+        async def mark_for_release(machines: list[Machine], patience_s: float) -> None:
+            """Marks the records of machines of one shard for release."""
             try:
                 await self.reassign_records(machines, NO_SHARD, patience_s)
             finally:
                 for machine in machines:
                     machine.releasing = False
 
-        await asyncio.gather(*(give_up(batch, key[1]) for key, batch in batches.items()))
+        await asyncio.gather(*(mark_for_release(batch, key[1]) for key, batch in batches.items()))
 
     async def transfer(
         self, machines: list[Machine], shard: int, evacuate: bool = False
     ) -> set[str]:
-        """Pass empty machines of a shard on to another, or with `evacuate` have their work stopped.
+        """Transfers empty machines to another shard; with `evacuate`, first drains them.
 
-        Returns the names for which that is done.
+        Returns the names of the machines that were transferred or are now draining.
         """
         done: set[str] = set()
-        passed_on: list[Machine] = []
+        to_transfer: list[Machine] = []
         with self._model.lock:
             for machine in machines:
                 if machine.shard == shard:
-                    # Repeated by a leader that has not followed the move yet. Written again in its
-                    # place the machine went on draining, and was released.
+                    # A leader whose replica does not show the move yet repeats the request. If the
+                    # record were written again, the machine would stay draining and be released.
                     done.add(machine.name)
                 elif evacuate and shard == NO_SHARD:
                     if not machine.draining and self._may_consolidate(machine):
@@ -121,22 +124,22 @@
                 elif self._may_transfer(machine) and not machine.transferring:
                     machine.evacuate_to = None
                     machine.draining = machine.transferring = True
-                    passed_on.append(machine)
-        written = await self.reassign_records(passed_on, shard)
-        for machine in passed_on:
+                    to_transfer.append(machine)
+        written = await self.reassign_records(to_transfer, shard)
+        for machine in to_transfer:
             machine.transferring = False
             if machine.name not in written:
                 machine.draining = False
         return done | written
 
     def _has_only_low_priority(self, machine: Machine) -> bool:
-        """Whether a machine is ours and no high-priority work is on it."""
+        """Returns whether a machine of an owned shard has no high-priority work."""
         return self._model.shards[machine.shard].owned and all(
             attempt.job.rank < HIGH_RANK for attempt in machine.attempts.values()
         )
 
     def _may_consolidate(self, machine: Machine) -> bool:
-        """Whether only services run on a machine, and for long enough to be moved."""
+        """Returns whether only services run on a machine, for long enough to be moved."""
         now = self._model.clock.now()
         return (
             self._model.shards[machine.shard].owned
@@ -152,7 +155,7 @@
         )
 
     def evacuated(self) -> list[tuple[Machine, int]]:
-        """Machines that have become empty for another shard, with that shard."""
+        """Returns the machines whose evacuation for another shard is complete, with that shard."""
         return [
             (machine, machine.evacuate_to)
             for machine in self._model.machines.values()
@@ -162,7 +165,7 @@
         ]
 
     def _may_transfer(self, machine: Machine) -> bool:
-        """Whether a machine is ours and empty, and not to be released."""
+        """Returns whether a machine of an owned shard is empty and not to be released."""
         return (
             self._model.shards[machine.shard].owned
             and (not machine.draining or machine.evacuate_to is not None)
@@ -172,7 +175,7 @@
         )
 
     def releasable(self) -> list[Machine]:
-        """Machines of owned shards that are to be given up: lost, or drained and empty."""
+        """Returns machines of owned shards to release: lost, unresponsive, or drained and empty."""
         model = self._model
         return [
             machine
--- a/badgerseam/fleet/machine_types.py
+++ b/badgerseam/fleet/machine_types.py
@@ -1,4 +1,4 @@
-"""Fetches the machine types and prices, and shares them by the state service."""
+"""Fetches the machine types with their prices and publishes them in the state service."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 REFRESH_INTERVAL_S = 20.0
 RETRY_INTERVAL_S = 1.0
 JITTER = 0.2
-"""Part by which intervals are longer or shorter at random."""
+"""Maximum random deviation of intervals, as a fraction."""
 COMMIT_DEADLINE_S = 5.0
 
 
 class MachineTypePublisher:
-    """Publishes the machine types while this controller leads.
+    """Publishes the machine types while this controller is the leader.
 
-    Until some are known, any controller fetches them for itself.
+    Until any are known, every controller fetches them for its own use.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._schedule_review = schedule_review
 
     async def run(self) -> None:
-        """Fetch and publish the types from time to time, for ever."""
+        """Fetches and publishes the types at an interval, until cancelled."""
         while True:
             pause_s = RETRY_INTERVAL_S
             if self._membership.is_leader or not self._model.types:
@@ -62,14 +62,15 @@
             await asyncio.sleep(pause_s * jitter)
 
     async def publish(self, types: list[cloud_wire.MachineType]) -> None:
-        """Store types if they have changed; without leadership only use them."""
+        """Stores the types if they have changed; without leadership, only uses them locally."""
         model = self._model
         claim = model.leader_claim
         is_leader = claim is not None and self._membership.is_leader
-        is_known = {entry.name: entry for entry in types} == model.types
-        # Types that a leader knows from before it led are not durable yet: a controller that was
-        # started again while the cloud was unreachable had none, and used no machine.
-        if is_known and (model.types_version or not is_leader):
+        is_unchanged = {entry.name: entry for entry in types} == model.types
+        # Types that a leader fetched before it became the leader are not durable yet. They have to
+        # be stored: a controller that restarted while the cloud was unreachable had no types and
+        # could use no machine.
+        if is_unchanged and (model.types_version or not is_leader):
             return
         value = wire.raw(types)
         if claim is None or not is_leader:
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -1,4 +1,4 @@
-"""The leader's work on the fleet: renting, releasing and moving machines."""
+"""Fleet management by the leader: renting, releasing and moving machines."""
 
 from __future__ import annotations
 
@@ -43,21 +43,22 @@
 MIN_ROUND_INTERVAL_S = 0.25
 MAX_ROUND_INTERVAL_S = 1.0
 ROUND_TIME_FRACTION = 0.05
-"""Part of the time that rounds may take: with a fleet or a burst of any size they get rarer, and
-the leader goes on answering its workers."""
+"""Maximum fraction of the time spent on rounds. With a large fleet or burst, rounds run less often,
+so that the leader still answers its workers."""
 STATUS_INTERVAL_S = 10.0
-"""Between log lines on the state of the fleet."""
+"""Seconds between log lines on the state of the fleet."""
 DEFAULT_BOOT_S = 30.0
-"""Stated duration of a boot while no machine types are known."""
+"""Nominal boot duration while no machine types are known."""
 MAX_RENTALS_AT_ONCE = 150
-"""Machines moved or rented in one round. A bound on the time a round takes, not on the fleet:
-rounds come four times a second, and the cloud's calls are scarcer."""
+"""Maximum number of machines that one round moves, or rents for one shard. It bounds the duration
+of a round, not the growth of the fleet: there are up to four rounds per second, and the cloud's
+rate limit is the tighter bound."""
 MAX_MACHINES_LISTED = 50
-"""The protocol's limit of machines in one rental."""
+"""Maximum number of machines in one rental request, set by the cloud's protocol."""
 
 
 class FleetManager:
-    """Keeps the machines in line with the work, while this controller leads."""
+    """Adjusts the fleet to the workload while this controller is the leader."""
 
     def __init__(
         self,
@@ -102,18 +103,18 @@
         self._moves = MachineMoves(model.clock, transfer_machines, self._spawn)
         self._evacuation = Evacuation(model, planner)
         self.class_of: Callable[[Arrival], int] | None = None
-        """The priority class of an arrival, where classes are declared."""
+        """Maps an arrival to its priority class; None if priority classes are disabled."""
         self._status_logged_at = -1e9
         self._moved_at = -1e9
         self._consolidated_at: dict[int, float] = {}
-        """By shard."""
+        """Time of the last consolidation, by shard."""
         objectives = model.settings.params.objectives
         self._wait_s_by_class = wait_s_by_class(objectives)
         self._spreads = reserve_spreads(objectives, tunables)
 
     def _spawn(self, work: Awaitable[object]) -> None:
         async def guarded() -> None:
-            """Log what the work raises, so that the fleet goes on."""
+            """Logs exceptions of the task, so that they do not stop fleet management."""
             try:
                 await work
             except Exception:
@@ -122,26 +123,26 @@
         self._tasks.spawn(guarded())
 
     async def run(self) -> None:
-        """Rent, move and release machines, a few times a second, for ever."""
-        took_s = 0.0
+        """Rents, moves and releases machines in rounds, a few times per second, until cancelled."""
+        duration_s = 0.0
         while True:
-            pause_s = max(MIN_ROUND_INTERVAL_S, took_s / ROUND_TIME_FRACTION)
+            pause_s = max(MIN_ROUND_INTERVAL_S, duration_s / ROUND_TIME_FRACTION)
             await asyncio.sleep(min(pause_s, MAX_ROUND_INTERVAL_S))
             if not self._membership.is_leader or not self._model.loaded:
                 self.boot_times.reset()
                 self.machine_list.reset()
-                # What was seen under a former leadership may have been released since.
+                # Machines found during an earlier leadership may have been released since.
                 self._model.unregistered.clear()
                 continue
-            began = self._clock.now()
+            started_at = self._clock.now()
             try:
                 self._round()
             except Exception:
                 log.exception("fleet round failed")
-            took_s = self._clock.now() - began
+            duration_s = self._clock.now() - started_at
 
     def cloud_view(self) -> CloudView:
-        """What the leader knows of the cloud, for other controllers."""
+        """Returns the blocked offers and the latest error of the cloud, for other controllers."""
         now = self._clock.now()
         blocked = [
             Blocked(offer.type, offer.zone, offer.spot, round(until - now, 1))
@@ -168,7 +169,7 @@
             self._decide(now)
 
     def _adopt_unregistered(self) -> None:
-        """Adopt machines that have sent heartbeats and have no record."""
+        """Adopts machines that send heartbeats but have no record."""
         model = self._model
         now = round(self._clock.wall(), 1)
         unregistered = [
@@ -179,7 +180,7 @@
         self.scale_out.adopt_unrecorded(unregistered)
 
     def _decide(self, now: float) -> None:
-        """Decide on the fleet as it is now, and start what was decided."""
+        """Makes decisions from the present state of the fleet and starts to carry them out."""
         model, planner = self._model, self._planner
         snapshots = [self._snapshot(shard, now) for shard in model.shards]
         empty = self._empty_machines()
@@ -205,7 +206,7 @@
         self._start_rentals(decisions)
 
     def _empty_machines(self) -> list[Machine]:
-        """Machines without any work that are not being moved."""
+        """Returns the machines that have no work and are not being moved."""
         return [
             machine
             for machine in self._model.machines.values()
@@ -213,8 +214,8 @@
         ]
 
     def _is_idle(self, machine: Machine, now: float) -> bool:
-        """Whether an empty machine has been so for long enough to be released."""
-        # The first minute is paid for in any case.
+        """Returns whether an empty machine has been idle for long enough to be released."""
+        # The first minute is charged even if the machine is released earlier.
         is_charged = self._clock.wall() - machine.rented_at >= MIN_CHARGED_S
         return is_charged and now - machine.idle_since >= self._tunables.idle_s
 
@@ -232,7 +233,7 @@
         )
 
     def _start_moves(self, decisions: policy.FleetDecisions, now: float) -> None:
-        """Move machines to other shards, and have surplus ones released."""
+        """Starts moves of machines to other shards, and releases of surplus machines."""
         machines = self._model.machines
         by_shard: dict[int, list[Machine]] = {}
         for index, shard in decisions.moves:
@@ -244,7 +245,7 @@
             self._moves.start(moved, shard)
 
     def _start_consolidation(self, decisions: policy.FleetDecisions, now: float) -> None:
-        """Have machines emptied whose replicas fit on others."""
+        """Starts draining of machines whose replicas fit on other machines."""
         for index, shard in decisions.consolidations:
             consolidated_at = self._consolidated_at.get(shard, -1e9)
             if now - consolidated_at >= self._tunables.consolidate_s:
@@ -254,7 +255,7 @@
     def _start_evacuation(
         self, snapshots: list[pts.Snapshot], decisions: policy.FleetDecisions, now: float
     ) -> None:
-        """Have machines of other shards evacuated for work that cannot be placed in its own."""
+        """Starts evacuations of machines for work that cannot be placed in its own shard."""
         selected = self._evacuation.select(snapshots, decisions, self._moves.in_progress, now)
         for shard, machines in selected.items():
             self._moves.start(machines, shard, evacuate=True)
@@ -263,8 +264,8 @@
         shards_by_offer: dict[Offer, list[int]] = {}
         for offer, shard in decisions.rentals:
             shards_by_offer.setdefault(offer, []).append(shard)
-        # One request an offer for all shards, and none that would have to wait: the cloud allows
-        # few calls, and what is requested later covers all that is missing by then.
+        # The cloud's rate limit is low: send one request per offer for all shards, and none that
+        # would have to wait, since a later request covers everything that is missing by then.
         calls = int(self._cloud.budget.available()) - len(self.scale_out.in_progress)
         for offer, shards in list(shards_by_offer.items())[: max(0, calls)]:
             self.scale_out.request_rental(shards[:MAX_MACHINES_LISTED], offer)
@@ -276,14 +277,15 @@
     # ---- snapshots ----
 
     def _snapshot(self, shard: Shard, now: float) -> pts.Snapshot:
-        """A shard's machines by the records, those that are expected included."""
+        """Returns a shard's snapshot from the records, including machines expected to join."""
         planner = self._planner
         nodes = [
             planner.node(machine, now)
             for machine in self._model.shard_machines[shard.index].values()
             if self._counts_as_capacity(machine, shard, now)
         ]
-        # While the write of a move lagged, a machine was rented for the same need.
+        # Count machines that are being moved to the shard. Otherwise, while the write of the move
+        # is delayed, another machine is rented for the same demand.
         for name, target in self._moves.arriving.items():
             arriving = self._model.machine(name)
             if target == shard.index and arriving is not None:
@@ -295,28 +297,28 @@
         return snapshot
 
     def _counts_as_capacity(self, machine: Machine, shard: Shard, now: float) -> bool:
-        """Whether a machine of a shard is usable, or will be soon."""
+        """Returns whether a machine of a shard is usable or will be soon."""
         if machine.name in self._moves.in_progress:
             return False
         if self._planner.usable(machine, now):
             return True
         if machine.dropped or machine.lost or machine.draining:
             return False
-        # Ours, and not usable now.
+        # A machine of an owned shard that has sent heartbeats and is not usable now does not count.
         if shard.owned and machine.incarnation > 0:
             return False
-        # Before it has seen a list, a new leader rented others for machines that were up and had no
-        # work yet.
+        # Before a new leader has seen a list, it cannot tell whether other owners' machines without
+        # work have booted. Counted as overdue, running machines were replaced by rented ones.
         return not (self.machine_list.has_listed and self.boot_times.is_overdue(machine))
 
     def _add_rentals(self, nodes: list[pts.MachineSnapshot], shard: Shard) -> None:
-        """Add the machines that are being rented for a shard."""
+        """Adds the machines that are being rented for a shard."""
         rentals = {name: rental for name, (rental, _) in self._model.rentals.items()}
         rentals |= self.scale_out.requesting
         for rental in rentals.values():
             offer = Offer(rental.type, rental.zone, rental.spot)
             for _ in range(rental.shards.count(shard.index)):
-                # Indices that no other machine of any shard has.
+                # An index that is unique among the machines of all shards.
                 index = -1000 - len(nodes) - 10000 * shard.index
                 node = offered_machine(self._model.types, offer, index)
                 if node is not None:
@@ -331,16 +333,16 @@
         machines = self._model.machines.values()
         waiting = sum(job.waiting() for jobs in self._model.open_jobs for job in jobs.values())
         log.debug(
-            "fleet counted %s %s waiting_tasks=%d reserves=%s",
-            _usage("on_demand", [m for m in machines if not m.spot]),
-            _usage("spot", [m for m in machines if m.spot]),
+            "fleet status %s %s waiting_tasks=%d reserves=%s",
+            _usage_fields("on_demand", [m for m in machines if not m.spot]),
+            _usage_fields("spot", [m for m in machines if m.spot]),
             waiting,
             ",".join(f"{r.tasks}x{pts.slots_of(r.demand):.1f}" for r in reserves) or "none",
         )
 
 
-def _usage(prefix: str, machines: list[Machine]) -> str:
-    """Machines, the empty ones, and the slots that are used, as log keys."""
+def _usage_fields(prefix: str, machines: list[Machine]) -> str:
+    """Returns the counts of machines, empty machines, used slots and all slots as log fields."""
     empty = sum(not machine.attempts for machine in machines)
     slots = sum(pts.slots_of(machine.total) for machine in machines)
     used = sum(
--- a/badgerseam/fleet/policy.py
+++ b/badgerseam/fleet/policy.py
@@ -1,4 +1,4 @@
-"""What the leader should do about the machines: a pure function over the shards' snapshots."""
+"""Decides which machines to move, rent and release: a pure function of the shards' snapshots."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 @dataclass(slots=True)
 class FleetDecisions:
-    """What to do about machines, which are named by their index; shards by theirs."""
+    """Decisions about machines. Machines and shards are identified by their indexes."""
 
     moves: list[tuple[int, int]] = field(default_factory=list)
-    """Machines to be moved, with the shard that needs them."""
+    """Machines to move, with the shard that needs them."""
     rentals: list[tuple[Offer, int]] = field(default_factory=list)
-    """Machines to be rented, with the shard that needs them."""
+    """Machines to rent, with the shard that needs them."""
     surplus: list[int] = field(default_factory=list)
-    """Empty machines that nothing needs."""
+    """Empty machines that are not needed."""
     consolidations: list[tuple[int, int]] = field(default_factory=list)
-    """Machines whose replicas fit on others, with their shard."""
+    """Machines to drain because their replicas fit on other machines, with their shard."""
     waiting: list[dict[int, int]] = field(default_factory=list)
-    """For each shard the unplaced tasks by job."""
+    """The number of unplaced tasks by job, for each shard."""
 
 
 def decide(
@@ -42,13 +42,14 @@
     request_of: RequestOf | None = None,
     cautious_below: int | None = None,
 ) -> FleetDecisions:
-    """Moves first, then rentals for waiting work, then the reserve; what is left over is surplus.
+    """Returns the decisions: moves, then rentals for waiting work, then the reserves, then surplus.
 
-    `empty`: machines without any work; `idle`: those that have been empty for long enough;
-    `choices`: what may be rented; `max_machines`: bound on moves and on rentals for each shard;
-    `boot_s`: duration of a boot, so that capacity that is free by then is as good as a new machine;
-    `request_of`: without it no replica is moved; `cautious_below`: nothing is moved now for lower
-    priority classes than this one, except for claims to a guarantee.
+    `empty`: machines without any work; `idle`: the empty ones that may be released;
+    `choices`: the options for rentals; `max_machines`: the maximum number of moves in total, and of
+    rentals per shard and purpose; `boot_s`: the boot duration, since capacity that becomes free
+    within it makes a new machine unnecessary; `request_of`: if None, no machine is consolidated;
+    `cautious_below`: no machine is moved for priority classes lower than this one, except for
+    demand within a team's guarantee.
     """
     decision = _Decision(snapshots, empty, max_machines)
     decision.move_spare_machines(cautious_below)
@@ -62,7 +63,7 @@
 
 
 class _Decision:
-    """The steps of one decision, each of which leaves less for the next one."""
+    """The steps of one decision; each step reduces the machines and capacity left for the next."""
 
     def __init__(self, snapshots: list[pts.Snapshot], empty: set[int], max_machines: int) -> None:
         self._snapshots = snapshots
@@ -70,34 +71,34 @@
         self._plans = [pts.plan(snapshot, evict=False) for snapshot in snapshots]
         self.result = FleetDecisions(waiting=[plan.waiting for plan in self._plans])
         self._free = {node.index: node.free for plan in self._plans for node in plan.nodes}
-        """Free capacity by machine after the plans and the reserves so far, without moved ones."""
+        """Free capacity by machine after the plans and the reserves so far; no moved machines."""
         self._spare = _spare_machines(snapshots, self._plans, empty)
-        """Empty machines that are not needed in their shard, with that shard."""
+        """Empty machines that are not needed in their shard, by index, with that shard."""
         self._unplaced: dict[int, UnplacedDemand] = {}
-        """By shard, in the order in which shards get machines."""
+        """Unplaced demand by shard, in the order in which shards get machines."""
 
     def move_spare_machines(self, cautious_below: int | None) -> None:
-        """Move empty machines to the shards in which work waits."""
-        levels = _waiting_priorities(self._snapshots, self._plans, cautious_below)
+        """Moves empty machines to the shards in which work waits."""
+        priorities = _waiting_priorities(self._snapshots, self._plans, cautious_below)
         order = sorted(
             range(len(self._snapshots)),
-            key=lambda shard: _shard_order(self._snapshots[shard], self._plans[shard], levels),
+            key=lambda shard: _shard_order(self._snapshots[shard], self._plans[shard], priorities),
         )
         for shard in order:
             plan = self._plans[shard]
             if plan.waiting:
                 requests = self._snapshots[shard].requests
                 self._unplaced[shard] = UnplacedDemand(requests, plan.waiting, plan.teams)
-        # What waits in one shard goes before what is of a lower class in all the others.
-        for level in [None] if levels is None else levels:
+        # Waiting work of one shard precedes lower-priority work of all other shards.
+        for priority in [None] if priorities is None else priorities:
             for shard, unplaced in self._unplaced.items():
-                self._move_to(shard, unplaced, level)
+                self._move_to(shard, unplaced, priority)
 
-    def _move_to(self, shard: int, unplaced: UnplacedDemand, level: PriorityKey | None) -> None:
+    def _move_to(self, shard: int, unplaced: UnplacedDemand, priority: PriorityKey | None) -> None:
         for node, origin in list(self._spare.values()):
             if not unplaced or len(self.result.moves) >= self._max_machines:
                 break
-            if origin == shard or not unplaced.is_useful(node, level):
+            if origin == shard or not unplaced.can_use(node, priority):
                 continue
             if unplaced.fill(node, node.free):
                 del self._spare[node.index]
@@ -105,7 +106,7 @@
                 self.result.moves.append((node.index, shard))
 
     def rent_for_waiting_work(self, choices: list[RentalOption], boot_s: float) -> None:
-        """Rent for what does not fit into the capacity that is free before a machine has booted."""
+        """Rents machines for work that does not fit into capacity that is free within `boot_s`."""
         for shard, unplaced in self._unplaced.items():
             now = self._snapshots[shard].now
             for node in self._plans[shard].nodes if unplaced else ():
@@ -118,7 +119,7 @@
     def reserve_capacity(
         self, position: int, reserve: CapacityReserve, choices: list[RentalOption]
     ) -> None:
-        """Reserve free capacity, and rent what is missing."""
+        """Reserves free capacity, and rents machines for the part that is missing."""
         missing = reserve.tasks
         if reserve.rank >= HIGH_RANK:
             slots = pts.slots_of(reserve.demand) or 1.0
@@ -130,7 +131,7 @@
             self._free[node.index] = self._free[node.index].minus(reserve.demand.times(count))
             missing -= count
         if missing > 0:
-            # On-demand machines are not kept idle for work that may run on spot instances.
+            # For work that may run on spot instances, no idle on-demand machines are rented.
             offers = [option for option in choices if option.offer.spot == reserve.spot]
             request = _reserve_request(position, reserve)
             unlimited = {0: pts.TeamUse(NOTHING, UNLIMITED, UNLIMITED)}
@@ -139,7 +140,7 @@
             self.result.rentals += [(offer, reserve.shard) for offer in rented]
 
     def _evictable_slots(self, reserve: CapacityReserve) -> float:
-        """Slots of low-priority work that high-priority work of the reserve may evict."""
+        """Returns the slots of low-priority work that work of the reserve may evict."""
         slots = 0.0
         for shard, plan in enumerate(self._plans):
             if not reserve.pooled and shard != reserve.shard:
@@ -150,7 +151,7 @@
         return slots
 
     def _machines_for(self, reserve: CapacityReserve) -> list[pts.MachineSnapshot]:
-        """The machines with free capacity for a reserve, the fullest first."""
+        """Returns the machines with free capacity for a reserve, the fullest first."""
         found: list[pts.MachineSnapshot] = []
         for shard, plan in enumerate(self._plans):
             in_shard = reserve.pooled or shard == reserve.shard
@@ -158,16 +159,16 @@
                 free = self._free.get(node.index)
                 if free is None or (node.spot and not reserve.spot):
                     continue
-                # Empty machines of other shards can be moved when they are needed.
+                # Empty machines of other shards count as well: they can be moved when needed.
                 if (in_shard or free == node.total) and reserve.demand.fits_in(free):
                     found.append(node)
-        # Of the empty ones, those with the most images start work the soonest: the others are
-        # released.
+        # Among empty machines, those with the most images start work soonest, so that the others
+        # are released first.
         found.sort(key=lambda node: (node.idle_slots / (node.slots or 1.0), -len(node.images)))
         return found
 
     def find_surplus(self, idle: set[int]) -> None:
-        """Release idle machines that neither waiting work nor a reserve needs."""
+        """Adds the idle machines that neither waiting work nor a reserve needs to the surplus."""
         for plan in self._plans:
             for node in plan.nodes:
                 is_spare = node.index in idle and node.index in self._spare
@@ -175,7 +176,10 @@
                     self.result.surplus.append(node.index)
 
     def consolidate(self, request_of: RequestOf) -> None:
-        """Empty a machine of each shard without waiting work, unless on-demand ones are rented."""
+        """Selects a machine to drain in each shard without waiting work.
+
+        Selects none while on-demand machines are being rented.
+        """
         if any(not offer.spot for offer, _ in self.result.rentals):
             return
         for shard, plan in enumerate(self._plans):
@@ -190,10 +194,10 @@
 def _waiting_priorities(
     snapshots: list[pts.Snapshot], plans: list[pts.Plan], cautious_below: int | None
 ) -> list[PriorityKey] | None:
-    """The levels of waiting work, the first one first; None where no classes are declared."""
+    """Returns the priorities of the waiting work, highest first; None without priority classes."""
     if not any(request.priority_class for snapshot in snapshots for request in snapshot.requests):
         return None
-    levels = set()
+    priorities = set()
     for snapshot, plan in zip(snapshots, plans, strict=True):
         for request in snapshot.requests:
             if request.job not in plan.waiting:
@@ -202,22 +206,26 @@
             claims_guarantee = team.used.plus(request.demand).fits_in(team.guarantee)
             is_cautious = cautious_below is not None and request.priority_class > cautious_below
             if claims_guarantee or not is_cautious:
-                levels.add(priority_key(request))
-    return sorted(levels)
+                priorities.add(priority_key(request))
+    return sorted(priorities)
 
 
 def _shard_order(
-    snapshot: pts.Snapshot, plan: pts.Plan, levels: list[PriorityKey] | None
+    snapshot: pts.Snapshot, plan: pts.Plan, priorities: list[PriorityKey] | None
 ) -> PriorityKey:
-    """Which shard gets machines first: that of the highest rank, or level of waiting work."""
-    if levels is None:
+    """Returns the sort key of a shard: shards with a lower key get machines first.
+
+    Without priority classes, the highest rank of all requests decides; otherwise the highest
+    priority of the waiting ones.
+    """
+    if priorities is None:
         return -max((request.rank for request in snapshot.requests), default=-1), 0
     waiting = (priority_key(r) for r in snapshot.requests if r.job in plan.waiting)
     return min(waiting, default=(1, 0))
 
 
 def _free_after(node: pts.MachineSnapshot, now: float, delay_s: float) -> Resources | None:
-    """A machine's free capacity after a delay; None if none of its tasks should end by then."""
+    """Returns a machine's free capacity after a delay; None if no task should end by then."""
     free = node.free
     for task in node.running:
         if now < task.ends_at <= now + delay_s:
@@ -228,7 +236,7 @@
 def _spare_machines(
     snapshots: list[pts.Snapshot], plans: list[pts.Plan], empty: set[int]
 ) -> dict[int, tuple[pts.MachineSnapshot, int]]:
-    """Empty machines that their own shard's waiting work does not use, with that shard."""
+    """Returns the empty machines that their own shard's plan does not use, with that shard."""
     return {
         before.index: (before, shard)
         for shard, plan in enumerate(plans)
@@ -238,7 +246,7 @@
 
 
 def _reserve_request(position: int, reserve: CapacityReserve) -> pts.Request:
-    """A request for a reserve's demand that stands for no job."""
+    """Returns a request for a reserve's demand that belongs to no job."""
     return pts.Request(
         job=-1 - position,
         count=0,
--- a/badgerseam/fleet/scale_in.py
+++ b/badgerseam/fleet/scale_in.py
@@ -16,15 +16,16 @@
 log = logging.getLogger("badgerseam.fleet")
 
 EMPTY_RECORD_PATIENCE_S = 10.0
-"""How long the record of an empty machine may outlast it, while writes are scarce."""
+"""Seconds for which deleting the record of an empty machine may be deferred while the write rate is
+limited."""
 RETRY_INTERVAL_S = 0.5
-"""After a failed call, before its machines may be released again."""
+"""Seconds after a failed request before its machines may be released again."""
 MAX_RELEASED = 100
-"""The protocol's limit of names in one call."""
+"""Maximum number of machines in one release request, set by the cloud's protocol."""
 
 
 class ScaleIn:
-    """Releases machines to the cloud, while this controller leads."""
+    """Releases machines to the cloud while this controller is the leader."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         self._is_running = False
 
     def release(self, names: list[str]) -> None:
-        """Release machines, as many with one call as have gathered since the last one."""
+        """Queues machines for release; one request covers those queued since the previous one."""
         new = [name for name in names if name not in self.in_progress]
         if not new:
             return
@@ -71,15 +72,15 @@
         try:
             await self._cloud.release(names)
         except CloudError as error:
-            log.debug("machines not released error=%s", error)
+            log.debug("machine release failed error=%s", error)
             await asyncio.sleep(RETRY_INTERVAL_S)
             self.in_progress.difference_update(names)
             return
         log.info("machines released machines=%s", ",".join(names))
         with self._model.lock:
             machines = [m for m in map(self._model.machine, names) if m is not None]
-        # Tasks that were on a machine start elsewhere when its record is gone. An empty one's
-        # record is only in the way.
+        # Tasks of a machine start elsewhere once its record is deleted, so that records of busy
+        # machines are deleted first. The records of empty machines can wait.
         busy = [machine for machine in machines if machine.attempts]
         empty = [machine for machine in machines if not machine.attempts]
         self._spawn(self._delete_records(busy, 0.0))
--- a/badgerseam/fleet/scale_out.py
+++ b/badgerseam/fleet/scale_out.py
@@ -1,4 +1,4 @@
-"""Rents machines, and writes the first records of those that came, rented here or not."""
+"""Rents machines, and creates the records of rented machines and of machines without a record."""
 
 from __future__ import annotations
 
@@ -24,19 +24,20 @@
 log = logging.getLogger("badgerseam.fleet")
 
 BLOCK_S = 10.0
-"""For how long an offer without capacity is not requested again at first."""
+"""Seconds for which an offer without capacity is first blocked."""
 MAX_BLOCK_S = 30.0
-FOLLOW_INTERVAL_S = 0.1
-"""Between checks whether the replica of the state shows a rental that is known to be durable."""
+"""Maximum block; each repeated lack of capacity doubles the block up to this."""
+REPLICA_POLL_INTERVAL_S = 0.1
+"""Seconds between checks for whether the local replica of the state shows a durable rental."""
 MIN_RETRY_INTERVAL_S = 0.5
 MAX_RETRY_INTERVAL_S = 4.0
 RECORD_RETRY_INTERVAL_S = 0.3
 GUARANTEE_WEIGHT = 0.05
-"""How much a team's guarantee counts as work of its shard, against tasks that wait or run."""
+"""Weight of a team's guarantee in the load of its shard, relative to waiting and running tasks."""
 
 
 class ScaleOut:
-    """Rentals, which are persisted under unique names before the cloud is asked for them."""
+    """Rents machines; persists each rental under a unique name before sending it to the cloud."""
 
     def __init__(
         self,
@@ -57,26 +58,26 @@
         self._schedule_review = schedule_review
         self._clock = model.clock
         self.blocked: dict[Offer, tuple[float, float]] = {}
-        """Offers without capacity: until when they are not requested, and for how long that was."""
+        """Offers without capacity, with the end and the duration of the block."""
         self.in_progress: set[str] = set()
-        """Names of the rentals that this controller is carrying out."""
+        """Names of the rentals that this controller is executing."""
         self.requesting: dict[str, wire.StoredRental] = {}
-        """Rentals that are not durable yet."""
+        """Rentals that are not durable yet, by name."""
         self.recording: set[str] = set()
-        """Machines whose first record is being written."""
+        """Names of machines whose first record is being written."""
         self._completed: set[str] = set()
-        """Rentals that were carried out under this leadership."""
-        self._serial = 0
+        """Names of the rentals that this controller has completed."""
+        self._sequence_number = 0
 
     def resume(self) -> None:
-        """Carry out the durable rentals that are not in progress."""
+        """Starts the durable rentals that are not in progress."""
         for name, (rental, _) in list(self._model.rentals.items()):
             if name not in self.in_progress:
                 self.in_progress.add(name)
                 self._spawn(self.complete_rental(name, rental))
 
     def request_rental(self, shards: list[int], offer: Offer) -> None:
-        """Rent one machine of an offer for each of the shards named."""
+        """Starts to rent one machine of an offer for each entry of `shards`."""
         claim = self._model.leader_claim
         if self._membership.lease is None or claim is None:
             return
@@ -89,12 +90,12 @@
         self._spawn(self._persist(name, rental, claim.version))
 
     def _next_name(self) -> str:
-        self._serial += 1
-        # The lease makes the names ones that no other process has used.
-        return f"{self._membership.node}-{self._membership.lease}-{self._serial}"
+        self._sequence_number += 1
+        # The number of the lease makes the names unique among all processes.
+        return f"{self._membership.node}-{self._membership.lease}-{self._sequence_number}"
 
     def _is_still_leader(self, version: int) -> bool:
-        """Whether this controller leads under the claim of that version."""
+        """Returns whether this controller is still the leader under the claim of that version."""
         claim = self._model.leader_claim
         return claim is not None and claim.version == version and self._membership.lease is not None
 
@@ -108,17 +109,18 @@
                 Urgency.PLACE,
                 {LEADER_KEY: version, key: 0},
                 [wire.Write(put=key, value=value)],
-                # Given up only with the claim, and then it fails: after a time without the state
-                # service the same need was requested under a second name, and rented twice.
+                # The write is abandoned only once the claim is lost, and then it cannot succeed.
+                # Abandoned earlier, for example after an outage of the state service, the demand
+                # was requested again under a second name, and both rentals were executed.
                 wanted=lambda: self._is_still_leader(version),
             )
             with model.lock:
                 model.apply(key, value, revision)
         except WRITE_ERRORS as error:
             if isinstance(error, ConditionFailedError) and key in error.failed:
-                # No other process uses the name, so that an earlier attempt was executed. Not
-                # counted until the replica shows it, the same need was requested under a second
-                # name.
+                # No other process uses the name, so that an earlier attempt of this write was
+                # executed. The rental has to count until the replica shows it: otherwise the same
+                # demand is requested under a second name.
                 await self._wait_until_replicated(name, version)
             if name not in model.rentals:
                 log.debug("rental not persisted rental=%s error=%r", name, error)
@@ -129,12 +131,12 @@
         await self.complete_rental(name, rental)
 
     async def _wait_until_replicated(self, name: str, version: int) -> None:
-        """Return when the replica shows a rental that is known to be durable."""
+        """Waits until the local replica of the state shows a durable rental."""
         while name not in self._model.rentals and self._is_still_leader(version):
-            await asyncio.sleep(FOLLOW_INTERVAL_S)
+            await asyncio.sleep(REPLICA_POLL_INTERVAL_S)
 
     async def complete_rental(self, name: str, rental: wire.StoredRental) -> None:
-        """Repeat a persisted rental until it is answered, and record its machines."""
+        """Retries a persisted rental until the cloud responds, and records its machines."""
         try:
             machines = await self._rent(name, rental)
             if machines is None:
@@ -144,13 +146,13 @@
             self.in_progress.discard(name)
 
     async def _rent(self, name: str, rental: wire.StoredRental) -> list[str] | None:
-        """The names of the machines rented; None if this controller does not lead any more."""
+        """Returns the names of the rented machines; None if leadership was lost."""
         count = len(rental.shards)
         request = cloud_wire.RentalRequest(name, rental.type, rental.zone, rental.spot, count)
         pause_s = MIN_RETRY_INTERVAL_S
         while self._membership.is_leader:
             if name in self._completed:
-                # Its record was written once more after its end.
+                # A delayed write created its record again after the rental was completed.
                 self._on_rented(name, rental, [], 0)
                 return []
             try:
@@ -158,7 +160,7 @@
             except NoCapacityError:
                 machines = []
             except CloudError as error:
-                log.debug("rental not answered rental=%s error=%s", name, error)
+                log.debug("rental request failed rental=%s error=%s", name, error)
                 await asyncio.sleep(pause_s)
                 pause_s = min(pause_s * 2, MAX_RETRY_INTERVAL_S)
                 continue
@@ -169,7 +171,7 @@
     def _on_rented(
         self, name: str, rental: wire.StoredRental, machines: list[str], count: int
     ) -> None:
-        """Log an answered rental, and block its offer if the cloud has too few machines."""
+        """Logs a completed rental request; blocks its offer if the cloud has too few machines."""
         shards = sorted(Counter(rental.shards).items())
         log.info(
             "machines rented rental=%s machines=%d requested=%d type=%s zone=%s spot=%s shards=%s",
@@ -188,16 +190,16 @@
     async def _record_rented(
         self, name: str, rental: wire.StoredRental, machines: list[str]
     ) -> None:
-        # Rented at the latest now. By the time of a rental that had waited for its write, new
-        # machines counted as overdue, and others were rented in their place.
+        # The time of the cloud's response, not of the rental record: if the write of the record had
+        # been delayed, new machines would count as overdue and replacements would be rented.
         rented_at = round(self._clock.wall(), 1)
         rows = [
             wire.StoredMachine(machine, shard, rental.type, rental.zone, rental.spot, "", rented_at)
             for machine, shard in zip(machines, rental.shards, strict=False)
         ]
         while self._membership.is_leader:
-            # Some may have been adopted already, from a heartbeat or the list, or are just being:
-            # they must not be recorded twice.
+            # Machines that were adopted from a heartbeat or the list, or are being adopted, must
+            # not be recorded twice.
             with self._model.lock:
                 new = [row for row in rows if row.name not in self._model.machine_index]
                 may_record = self.recording.isdisjoint(row.name for row in new)
@@ -209,7 +211,7 @@
             await asyncio.sleep(RECORD_RETRY_INTERVAL_S)
 
     def _block(self, offer: Offer, has_some: bool) -> None:
-        """Do not request an offer for a while, longer each time that there were no machines."""
+        """Blocks an offer temporarily; the block doubles while no machine at all is available."""
         _, block_s = self.blocked.get(offer, (0.0, 0.0))
         is_first = has_some or block_s == 0
         block_s = BLOCK_S if is_first else min(2 * block_s, MAX_BLOCK_S)
@@ -218,7 +220,7 @@
     # ---- records ----
 
     def adopt_unrecorded(self, rows: list[wire.StoredMachine]) -> None:
-        """Record machines that have no record, each in the shard with the fewest for its work."""
+        """Creates records for machines without one, in the shards with the highest load per CPU."""
         model = self._model
         new = [
             row
@@ -233,18 +235,18 @@
             sum(machine.total.cpus or 1.0 for machine in machines.values())
             for machines in model.shard_machines
         ]
-        work = [self._work(shard) for shard in range(len(cpus))]
+        loads = [self._shard_load(shard) for shard in range(len(cpus))]
         adopted = []
         for row in new:
-            shard = max(range(len(cpus)), key=lambda index: (work[index] + 1) / (cpus[index] + 1))
+            shard = max(range(len(cpus)), key=lambda index: (loads[index] + 1) / (cpus[index] + 1))
             cpus[shard] += model.capacity(row.type).cpus or 1.0
             adopted.append(msgspec.structs.replace(row, shard=shard))
             log.info("adopting machine machine=%s shard=%d", row.name, shard)
         self.recording.update(row.name for row in adopted)
         self._spawn(self._record(adopted, None, self._next_name()))
 
-    def _work(self, shard: int) -> float:
-        """The slots of a shard's open jobs, and a part of its teams' guarantees."""
+    def _shard_load(self, shard: int) -> float:
+        """Returns the slots of a shard's open tasks plus the weighted guarantees of its teams."""
         total = 0.0
         for job in self._model.open_jobs[shard].values():
             total += pts.slots_of(job.demand) * (job.waiting() + len(job.attempts))
@@ -254,9 +256,9 @@
         return total
 
     async def _record(self, rows: list[wire.StoredMachine], rental: str | None, group: str) -> bool:
-        """Write the records of machines, and with the last one delete their rental.
+        """Writes the records of machines, and deletes their rental in the last transaction.
 
-        Returns False if that is not durable and has to be repeated.
+        Returns False if the result is not known to be durable, so that the call must be retried.
         """
         model = self._model
         max_rows = self._machine_records.max_rows(rows)
@@ -268,13 +270,14 @@
                 conditions = {LEADER_KEY: claim.version}
                 deletions: list[wire.Write] = []
                 if rental is not None:
-                    known = model.rentals.get(rental)
-                    if known is None:
-                        # An earlier attempt was executed.
+                    stored = model.rentals.get(rental)
+                    if stored is None:
+                        # The rental was deleted by an earlier attempt, which was executed.
                         return True
-                    # Executed late, it brought back the records of machines that were gone again:
-                    # a group that is gone looks as one that was never written.
-                    conditions[rental_key(rental)] = known[1]
+                    # Without this condition, a delayed write recreated the records of machines that
+                    # had been removed since: a deleted group cannot be told from one that was never
+                    # written.
+                    conditions[rental_key(rental)] = stored[1]
                     if first + max_rows >= len(rows):
                         deletions.append(wire.Write(delete=rental_key(rental)))
                 part = rows[first : first + max_rows]
@@ -287,7 +290,7 @@
                         lambda: self._membership.is_leader,
                     )
         except WRITE_ERRORS as error:
-            log.debug("machines not recorded rental=%s error=%r", rental, error)
+            log.debug("machine records not written rental=%s error=%r", rental, error)
             return False
         finally:
             self.recording.difference_update(row.name for row in rows)
