--- a/badgerseam/fleet/boot_times.py
+++ b/badgerseam/fleet/boot_times.py
@@ -25,7 +25,7 @@
 completed since it was rented."""
 GIVE_UP_FACTOR = 2.0
 """Factor on the maximum expected duration after which a machine is considered never to boot."""
-NEVER_FACTOR = 10.0
+MAX_BOOT_FACTOR = 10.0
 """Factor on the stated duration after which a machine is considered never to boot in any case."""
 UNKNOWN_BOOT_S = 30.0
 """Boot duration in seconds for a type that the cloud no longer offers."""
@@ -52,7 +52,7 @@
         self._boots: dict[str, deque[_Boot]] = {}
         self._booting: dict[int, Machine] = {}
         """Machines whose boot began during this leadership and has not completed, by index."""
-        self._first_unseen = 0
+        self._first_unexamined = 0
         """The lowest index of machines not examined yet. Machines with lower indexes were examined,
         or existed before this leadership, so that their boot durations are unknown."""
 
@@ -62,16 +62,16 @@
         Called while this controller is not the leader.
         """
         self._booting.clear()
-        self._first_unseen = self._model.next_machine
+        self._first_unexamined = self._model.next_machine
 
     def observe(self) -> None:
         """Records completed boots; called in each round with the model's lock held."""
         model = self._model
-        for index in range(self._first_unseen, model.next_machine):
+        for index in range(self._first_unexamined, model.next_machine):
             machine = model.machines.get(index)
             if machine is not None:
                 self._booting[index] = machine
-        self._first_unseen = model.next_machine
+        self._first_unexamined = model.next_machine
         for index, machine in list(self._booting.items()):
             if model.machines.get(index) is not machine or machine.dropped:
                 del self._booting[index]
@@ -128,5 +128,5 @@
 
     def never_boots(self, machine: Machine, age_s: float) -> bool:
         """Returns whether a machine listed as booting at an age is considered never to boot."""
-        max_age_s = NEVER_FACTOR * self.stated_s(machine.type)
+        max_age_s = MAX_BOOT_FACTOR * self.stated_s(machine.type)
         return age_s > min(GIVE_UP_FACTOR * self.max_expected_s(machine), max_age_s)
--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -157,12 +157,12 @@
             count = min(count, request.zone_limit - tasks.zones.get(node.zone, 0))
         return count
 
-    def rent(self, choices: list[RentalOption], max_machines: int) -> list[Offer]:
+    def rent(self, options: list[RentalOption], max_machines: int) -> list[Offer]:
         """Returns the offers to rent for the remaining tasks, by price per used slot."""
         rented: list[Offer] = []
         while self._unplaced and len(rented) < max_machines:
             first = self._unplaced[0]
-            option = self._cheapest(first, choices)
+            option = self._cheapest(first, options)
             if option is None:
                 # No option fits the tasks now, or their team has reached its limit.
                 self._unplaced.pop(0)
@@ -187,11 +187,11 @@
                 count += tasks.count
         return count
 
-    def _cheapest(self, first: _UnplacedTasks, choices: list[RentalOption]) -> RentalOption | None:
+    def _cheapest(self, first: _UnplacedTasks, options: list[RentalOption]) -> RentalOption | None:
         """Returns the option with the lowest weighted price per task; None if no option fits."""
         best: RentalOption | None = None
         best_price = 0.0
-        for option in choices:
+        for option in options:
             node = _empty_machine(option, -1)
             if self._count_fitting(first, node, option.total) <= 0:
                 continue
--- a/badgerseam/fleet/machine_list.py
+++ b/badgerseam/fleet/machine_list.py
@@ -21,7 +21,7 @@
 MIN_CHARGED_S = 60.0
 """The minimum time for which a machine is charged."""
 MIN_LIST_INTERVAL_S = 1.5
-CALLS_PER_LIST = 4.0
+REQUESTS_PER_LIST = 4.0
 """Requests that the rate limit must allow between two requests for the list."""
 MISSING_SLACK_S = 5.0
 """Seconds beyond twice the lag of the list for which a new machine may be missing from it."""
@@ -71,7 +71,9 @@
         """Compares the cloud's list with the records at an interval, until cancelled."""
         params = self._model.settings.params.cloud
         # Rentals take precedence for the rate limit, since the list is out of date anyway.
-        self._interval_s = max(MIN_LIST_INTERVAL_S, params.list_lag_s, CALLS_PER_LIST / params.rps)
+        self._interval_s = max(
+            MIN_LIST_INTERVAL_S, params.list_lag_s, REQUESTS_PER_LIST / params.rps
+        )
         while True:
             if self._membership.is_leader and self._model.loaded:
                 requested_at = self._clock.wall()
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -49,11 +49,11 @@
 """Seconds between log lines on the state of the fleet."""
 DEFAULT_BOOT_S = 30.0
 """Nominal boot duration while no machine types are known."""
-MAX_RENTALS_AT_ONCE = 150
+MAX_MACHINES_PER_ROUND = 150
 """Maximum number of machines that one round moves, or rents for one shard. It bounds the duration
 of a round, not the growth of the fleet: there are up to four rounds per second, and the cloud's
 rate limit is the tighter bound."""
-MAX_MACHINES_LISTED = 50
+MAX_MACHINES_PER_RENTAL = 50
 """Maximum number of machines in one rental request, set by the cloud's protocol."""
 
 
@@ -195,7 +195,7 @@
             {machine.index for machine in empty if self._is_idle(machine, now)},
             reserves,
             rental_options(model.types, blocked),
-            MAX_RENTALS_AT_ONCE,
+            MAX_MACHINES_PER_ROUND,
             boot_s,
             self._request_of,
             None if planner.classes is None else planner.classes.cautious_below(),
@@ -268,7 +268,7 @@
         # would have to wait, since a later request covers everything that is missing by then.
         calls = int(self._cloud.budget.available()) - len(self.scale_out.in_progress)
         for offer, shards in list(shards_by_offer.items())[: max(0, calls)]:
-            self.scale_out.request_rental(shards[:MAX_MACHINES_LISTED], offer)
+            self.scale_out.request_rental(shards[:MAX_MACHINES_PER_RENTAL], offer)
 
     def _request_of(self, index: int) -> pts.Request | None:
         job = self._model.jobs[index]
--- a/badgerseam/fleet/policy.py
+++ b/badgerseam/fleet/policy.py
@@ -36,7 +36,7 @@
     empty: set[int],
     idle: set[int],
     reserves: list[CapacityReserve],
-    choices: list[RentalOption],
+    options: list[RentalOption],
     max_machines: int,
     boot_s: float = 0.0,
     request_of: RequestOf | None = None,
@@ -45,7 +45,7 @@
     """Returns the decisions: moves, then rentals for waiting work, then the reserves, then surplus.
 
     `empty`: machines without any work; `idle`: the empty ones that may be released;
-    `choices`: the options for rentals; `max_machines`: the maximum number of moves in total, and of
+    `options`: the options for rentals; `max_machines`: the maximum number of moves in total, and of
     rentals per shard and purpose; `boot_s`: the boot duration, since capacity that becomes free
     within it makes a new machine unnecessary; `request_of`: if None, no machine is consolidated;
     `cautious_below`: no machine is moved for priority classes lower than this one, except for
@@ -53,9 +53,9 @@
     """
     decision = _Decision(snapshots, empty, max_machines)
     decision.move_spare_machines(cautious_below)
-    decision.rent_for_waiting_work(choices, boot_s)
+    decision.rent_for_waiting_work(options, boot_s)
     for position, reserve in enumerate(reserves):
-        decision.reserve_capacity(position, reserve, choices)
+        decision.reserve_capacity(position, reserve, options)
     decision.find_surplus(idle)
     if request_of is not None:
         decision.consolidate(request_of)
@@ -105,7 +105,7 @@
                 del self._free[node.index]
                 self.result.moves.append((node.index, shard))
 
-    def rent_for_waiting_work(self, choices: list[RentalOption], boot_s: float) -> None:
+    def rent_for_waiting_work(self, options: list[RentalOption], boot_s: float) -> None:
         """Rents machines for work that does not fit into capacity that is free within `boot_s`."""
         for shard, unplaced in self._unplaced.items():
             now = self._snapshots[shard].now
@@ -113,11 +113,11 @@
                 free = _free_after(node, now, boot_s)
                 if free is not None:
                     unplaced.fill(node, free)
-            offers = unplaced.rent(choices, self._max_machines)
+            offers = unplaced.rent(options, self._max_machines)
             self.result.rentals += [(offer, shard) for offer in offers]
 
     def reserve_capacity(
-        self, position: int, reserve: CapacityReserve, choices: list[RentalOption]
+        self, position: int, reserve: CapacityReserve, options: list[RentalOption]
     ) -> None:
         """Reserves free capacity, and rents machines for the part that is missing."""
         missing = reserve.tasks
@@ -132,7 +132,7 @@
             missing -= count
         if missing > 0:
             # For work that may run on spot instances, no idle on-demand machines are rented.
-            offers = [option for option in choices if option.offer.spot == reserve.spot]
+            offers = [option for option in options if option.offer.spot == reserve.spot]
             request = _reserve_request(position, reserve)
             unlimited = {0: pts.TeamUse(NOTHING, UNLIMITED, UNLIMITED)}
             unplaced = UnplacedDemand([request], {request.job: missing}, unlimited)
--- a/badgerseam/fleet/scale_in.py
+++ b/badgerseam/fleet/scale_in.py
@@ -20,7 +20,7 @@
 limited."""
 RETRY_INTERVAL_S = 0.5
 """Seconds after a failed request before its machines may be released again."""
-MAX_RELEASED = 100
+MAX_MACHINES_PER_RELEASE = 100
 """Maximum number of machines in one release request, set by the cloud's protocol."""
 
 
@@ -62,8 +62,8 @@
         try:
             while self._queue:
                 await self._cloud.wait_for_budget()
-                names = self._queue[:MAX_RELEASED]
-                del self._queue[:MAX_RELEASED]
+                names = self._queue[:MAX_MACHINES_PER_RELEASE]
+                del self._queue[:MAX_MACHINES_PER_RELEASE]
                 await self._release(names)
         finally:
             self._is_running = False
