--- a/badgerseam/fleet/evacuation.py
+++ b/badgerseam/fleet/evacuation.py
@@ -11,8 +11,8 @@
 from badgerseam.sched.planner import Planner
 
 EVACUATION_INTERVAL_S = 3.0
-"""Seconds that HP work, or demand within a guarantee, waits before machines of another shard are
-evacuated; also the minimum time between evacuations for one shard."""
+"""Seconds that high-priority work, or demand within a guarantee, waits before machines of another
+shard are evacuated; also the minimum time between evacuations for one shard."""
 MAX_EVACUATED = 4
 """Maximum number of machines evacuated at a time for one shard."""
 
@@ -21,8 +21,8 @@
     """Selects machines to evacuate for work of other shards.
 
     The paper's planner evicts only within a shard. If low-priority work or borrowers of other
-    shards use all suitable machines, HP work and demand within a team's guarantee can only start
-    after machines of those shards are evacuated.
+    shards use all suitable machines, high-priority work and demand within a team's guarantee can
+    only start after machines of those shards are evacuated.
     """
 
     def __init__(self, model: Model, planner: Planner) -> None:
@@ -69,7 +69,8 @@
     ) -> bool:
         """Returns whether a request justifies an evacuation.
 
-        It does if it is HP work, or within its team's guarantee, and has waited for long enough.
+        It does if it has waited for long enough and is of high priority or within its team's
+        guarantee.
         """
         job = self._model.jobs[request.job]
         if request.job not in waiting or job is None or job.is_failing:
@@ -127,8 +128,8 @@
     ) -> bool:
         """Returns whether all work on a machine may be stopped for a request.
 
-        HP work may displace low-priority work; other requests may displace only work of borrowers
-        that is of low priority.
+        High-priority work may displace any low-priority work; other requests may only displace
+        low-priority work of borrowers.
         """
         if machine.dropped or machine.draining or machine.lost or not machine.attempts:
             return False
--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -45,8 +45,8 @@
         """
         if not machines:
             return set()
-        owner = self._model.shards[machines[0].shard]
-        term = owner.term
+        origin = self._model.shards[machines[0].shard]
+        term = origin.term
         addresses = {machine.name: machine.address for machine in machines}
         versions = {machine.name: machine.version for machine in machines}
 
@@ -57,7 +57,7 @@
                 # A write without a response moved the machine, and it has been moved back since,
                 # perhaps with work on it.
                 return row
-            if row.shard != owner.index:
+            if row.shard != origin.index:
                 return row
             address = addresses[row.name]
             if shard == NO_SHARD:
@@ -67,8 +67,8 @@
         return await self._machine_records.change(
             machines,
             edit,
-            (claim_key(owner.index), term),
-            lambda: owner.owned and owner.term == term,
+            (claim_key(origin.index), term),
+            lambda: origin.owned and origin.term == term,
             patience_s,
         )
 
--- a/badgerseam/settings.py
+++ b/badgerseam/settings.py
@@ -239,7 +239,11 @@
         float, Meta(gt=0, description="minimum interval between moves of machines between shards")
     ] = 0.2
     counts_s: Annotated[
-        float, Meta(gt=0, description="interval between writes of the counts G and F")
+        float,
+        Meta(
+            gt=0,
+            description="interval between writes of G and F (finished and evicted tasks)",
+        ),
     ] = 10.0
     done_delay_s: Annotated[
         float, Meta(ge=0, le=2, description="how long finished tasks are batched into one write")
@@ -276,7 +280,7 @@
         Meta(
             ge=0,
             description="factor on the reserve for classes that only the guarantee objective "
-            "covers, which grows with the fraction of them that should start in time",
+            "covers; that reserve grows with the fraction of work that should start in time",
         ),
     ] = 0.5
     begin_s: Annotated[
@@ -329,8 +333,8 @@
     may_ignore: Annotated[
         list[Name],
         Meta(
-            description="sections of this file that a version of the program that does not know "
-            "them may ignore, so that the program can be rolled back without changing this file"
+            description="sections of this file that a program version without support for them may "
+            "ignore, so that the program can be rolled back without changing this file"
         ),
     ] = field(default_factory=list)
 
