--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -9,8 +9,8 @@
 
 from badgerseam.clock import Clock
 from badgerseam.explain.text import pluralize
-from badgerseam.fleet.boot_times import SPREAD
-from badgerseam.fleet.demand import Offer, options, virtual_node
+from badgerseam.fleet.boot_times import USUAL_BOOT_FACTOR
+from badgerseam.fleet.demand import Offer, offered_machine, rental_options
 from badgerseam.model.machine import Machine
 from badgerseam.model.model import Model
 from badgerseam.model.state import Shard
@@ -95,7 +95,7 @@
     for rental, _ in model.rentals.values():
         offer = Offer(rental.type, rental.zone, rental.spot)
         for _ in range(rental.shards.count(shard.index)):
-            node = virtual_node(model.types, offer, -1)
+            node = offered_machine(model.types, offer, -1)
             if node is not None:
                 result.rentals.append(node)
     return result
@@ -107,11 +107,11 @@
     machine_type = model.types.get(machine.type)
     if machine.attempts or machine_type is None:
         return None
-    left_s = machine.rented_at + SPREAD * machine_type.boot_s - wall
+    left_s = machine.rented_at + USUAL_BOOT_FACTOR * machine_type.boot_s - wall
     if left_s <= 0:
         return None
     offer = Offer(machine.type, machine.zone, machine.spot)
-    node = virtual_node(model.types, offer, machine.index)
+    node = offered_machine(model.types, offer, machine.index)
     return None if node is None else (node, left_s)
 
 
@@ -196,10 +196,10 @@
 def _capacity_reasons(model: Model, view: CloudView, request: Request) -> list[Reason]:
     """The reason of a cloud that refuses all offers which could take the tasks."""
     blocked = {Offer(entry.type, entry.zone, entry.spot): entry.again_s for entry in view.blocked}
-    offers = [option.offer for option in options(model.types, set())]
+    offers = [option.offer for option in rental_options(model.types, set())]
     useful = []
     for offer in offers:
-        node = virtual_node(model.types, offer, -1)
+        node = offered_machine(model.types, offer, -1)
         if node is not None and _serves(request, node):
             useful.append(offer)
     refused = [offer for offer in useful if offer in blocked]
--- a/badgerseam/fleet/machine_types.py
+++ b/badgerseam/fleet/machine_types.py
@@ -1,4 +1,4 @@
-"""Fetches the machine types and prices, and shares them by the state service."""
+"""Fetches the machine types with their prices and publishes them in the state service."""
 
 from __future__ import annotations
 
@@ -21,40 +21,40 @@
 REFRESH_INTERVAL_S = 20.0
 RETRY_INTERVAL_S = 1.0
 JITTER = 0.2
-"""Part by which intervals are longer or shorter at random."""
+"""Maximum random deviation of intervals, as a fraction."""
 COMMIT_DEADLINE_S = 5.0
 
 
 class MachineTypePublisher:
-    """Publishes the machine types while this controller leads.
+    """Publishes the machine types while this controller is the leader.
 
-    Until some are known, any controller fetches them for itself.
+    Until any are known, every controller fetches them for its own use.
     """
 
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         committer: GroupCommitter,
         cloud: CloudClient,
         random: Random,
-        changed: Callable[[], None],
+        schedule_review: Callable[[], None],
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._committer = committer
         self._cloud = cloud
         self._random = random
-        self._changed = changed
+        self._schedule_review = schedule_review
 
-    async def keep_published(self) -> None:
-        """Fetch and publish the types from time to time, for ever."""
+    async def run(self) -> None:
+        """Fetches and publishes the types at an interval, until cancelled."""
         while True:
             pause_s = RETRY_INTERVAL_S
-            if self._member.is_leader or not self._model.types:
+            if self._membership.is_leader or not self._model.types:
                 try:
                     await self.publish(await self._cloud.types())
-                    if self._member.is_leader:
+                    if self._membership.is_leader:
                         pause_s = REFRESH_INTERVAL_S
                 except CloudError as error:
                     log.debug("machine types not fetched error=%s", error)
@@ -62,21 +62,22 @@
             await asyncio.sleep(pause_s * jitter)
 
     async def publish(self, types: list[cloud_wire.MachineType]) -> None:
-        """Store types if they have changed; without leadership only use them."""
+        """Stores the types if they have changed; without leadership, only uses them locally."""
         model = self._model
         claim = model.leader_claim
-        is_leader = claim is not None and self._member.is_leader
-        is_known = {entry.name: entry for entry in types} == model.types
-        # Types that a leader knows from before it led are not durable yet: a controller that was
-        # started again while the cloud was unreachable had none, and used no machine.
-        if is_known and (model.types_version or not is_leader):
+        is_leader = claim is not None and self._membership.is_leader
+        is_unchanged = {entry.name: entry for entry in types} == model.types
+        # Types that a leader fetched before it became the leader are not durable yet. They have to
+        # be stored: a controller that restarted while the cloud was unreachable had no types and
+        # could use no machine.
+        if is_unchanged and (model.types_version or not is_leader):
             return
         value = wire.raw(types)
         if claim is None or not is_leader:
             with model.lock:
                 if not model.types:
                     model.set_types(types)
-            self._changed()
+            self._schedule_review()
             return
         try:
             revision = await self._committer.commit(
@@ -89,4 +90,4 @@
             return
         with model.lock:
             model.apply(TYPES_KEY, value, revision)
-        self._changed()
+        self._schedule_review()
--- a/badgerseam/fleet/scale_in.py
+++ b/badgerseam/fleet/scale_in.py
@@ -16,38 +16,39 @@
 log = logging.getLogger("badgerseam.fleet")
 
 EMPTY_RECORD_PATIENCE_S = 10.0
-"""How long the record of an empty machine may outlast it, while writes are scarce."""
+"""Seconds for which deleting the record of an empty machine may be deferred while the write rate is
+limited."""
 RETRY_INTERVAL_S = 0.5
-"""After a failed call, before its machines may be released again."""
-MAX_RELEASED = 100
-"""The protocol's limit of names in one call."""
+"""Seconds after a failed request before its machines may be released again."""
+MAX_MACHINES_PER_RELEASE = 100
+"""Maximum number of machines in one release request, set by the cloud's protocol."""
 
 
 class ScaleIn:
-    """Releases machines to the cloud, while this controller leads."""
+    """Releases machines to the cloud while this controller is the leader."""
 
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         machine_records: MachineRecords,
         cloud: CloudClient,
         spawn: Callable[[Awaitable[object]], None],
-        changed: Callable[[], None],
+        schedule_review: Callable[[], None],
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._machine_records = machine_records
         self._cloud = cloud
         self._spawn = spawn
-        self._changed = changed
+        self._schedule_review = schedule_review
         self.in_progress: set[str] = set()
         """Names of machines that are being released."""
         self._queue: list[str] = []
         self._is_running = False
 
     def release(self, names: list[str]) -> None:
-        """Release machines, as many with one call as have gathered since the last one."""
+        """Queues machines for release; one request covers those queued since the previous one."""
         new = [name for name in names if name not in self.in_progress]
         if not new:
             return
@@ -61,8 +62,8 @@
         try:
             while self._queue:
                 await self._cloud.wait_for_budget()
-                names = self._queue[:MAX_RELEASED]
-                del self._queue[:MAX_RELEASED]
+                names = self._queue[:MAX_MACHINES_PER_RELEASE]
+                del self._queue[:MAX_MACHINES_PER_RELEASE]
                 await self._release(names)
         finally:
             self._is_running = False
@@ -71,15 +72,15 @@
         try:
             await self._cloud.release(names)
         except CloudError as error:
-            log.debug("machines not released error=%s", error)
+            log.debug("machine release failed error=%s", error)
             await asyncio.sleep(RETRY_INTERVAL_S)
             self.in_progress.difference_update(names)
             return
         log.info("machines released machines=%s", ",".join(names))
         with self._model.lock:
             machines = [m for m in map(self._model.machine, names) if m is not None]
-        # Tasks that were on a machine start elsewhere when its record is gone. An empty one's
-        # record is only in the way.
+        # Tasks of a machine start elsewhere once its record is deleted, so that records of busy
+        # machines are deleted first. The records of empty machines can wait.
         busy = [machine for machine in machines if machine.attempts]
         empty = [machine for machine in machines if not machine.attempts]
         self._spawn(self._delete_records(busy, 0.0))
@@ -94,9 +95,9 @@
                     machines,
                     lambda _: None,
                     (LEADER_KEY, claim.version),
-                    lambda: self._member.is_leader,
+                    lambda: self._membership.is_leader,
                     patience_s,
                 )
-                self._changed()
+                self._schedule_review()
         finally:
             self.in_progress.difference_update(m.name for m in machines)
