--- a/badgerseam/cluster/membership.py
+++ b/badgerseam/cluster/membership.py
@@ -286,7 +286,7 @@
     # ---- a controller that others are to act for ----
 
     @property
-    def hears_no_workers(self) -> bool:
+    def receives_no_heartbeats(self) -> bool:
         """No worker reaches us: others are to act for our shards."""
         return self.is_unavailable(UnavailableReason.NO_HEARTBEATS)
 
@@ -309,7 +309,7 @@
 
     def withdraw_if_replaceable(self) -> bool:
         """Have others act for our shards, until `mark_available`; False if there is nobody else."""
-        if self.hears_no_workers or self.lease is None or not self.takeover_candidates():
+        if self.receives_no_heartbeats or self.lease is None or not self.takeover_candidates():
             return False
         self.registration.unavailable_reasons.add(UnavailableReason.NO_HEARTBEATS)
         self._tasks.spawn(self._withdraw())
--- a/badgerseam/standby/takeover_gate.py
+++ b/badgerseam/standby/takeover_gate.py
@@ -121,7 +121,7 @@
         return self._model.is_supported
 
     def _hears_workers(self, _shard: Shard | None, _claim: ObservedClaim) -> bool:
-        return not self._member.hears_no_workers
+        return not self._member.receives_no_heartbeats
 
     def _is_lease_confirmed(self, _shard: Shard | None, _claim: ObservedClaim) -> bool:
         return self.is_steady()
--- a/badgerseam/workers/heartbeat_reception.py
+++ b/badgerseam/workers/heartbeat_reception.py
@@ -73,7 +73,7 @@
         if terms != self._terms:
             self._terms = terms
             self._silence_s = -TAKEOVER_GRACE_S
-        if self._member.hears_no_workers:
+        if self._member.receives_no_heartbeats:
             if now - self._probed_at >= PROBE_INTERVAL_S:
                 self._probed_at = now
                 self._tasks.spawn(self._probe_machines())
@@ -114,7 +114,7 @@
             return
         if self._answered_since is None:
             self._answered_since = now
-        if now - self._answered_since >= self._backoff_s and self._member.hears_no_workers:
+        if now - self._answered_since >= self._backoff_s and self._member.receives_no_heartbeats:
             log.info("workers reachable again backoff_s=%.1f", self._backoff_s)
             self._backoff_s = min(2 * self._backoff_s, MAX_BACKOFF_S)
             self._silence_s = 0.0
