--- a/badgerseam/cluster/partition.py
+++ b/badgerseam/cluster/partition.py
@@ -90,7 +90,7 @@
             return HeartbeatVerdict.REDIRECT
         return HeartbeatVerdict.PROXY
 
-    def knows_newer_owner(self, shard: Shard, machine: Machine, token: int) -> bool:
+    def should_redirect_proxied(self, shard: Shard, machine: Machine, token: int) -> bool:
         """Whether a worker whose heartbeats we would proxy knows a later owner than we do."""
         if self._served_recently() or shard.claim is None:
             return False
--- a/badgerseam/workers/worker_manager.py
+++ b/badgerseam/workers/worker_manager.py
@@ -122,7 +122,7 @@
         if self.on_redirected_worker is not None and shard.claim is not None:
             self.on_redirected_worker(shard.claim.record.node, machine.name)
         proxy = self.heartbeat_proxy
-        if proxy.is_proxy_for(shard, machine.zone) and not proxy.partition.knows_newer_owner(
+        if proxy.is_proxy_for(shard, machine.zone) and not proxy.partition.should_redirect_proxied(
             shard, machine, heartbeat.fencing_token
         ):
             return self._responder.answer_as_proxy(machine, heartbeat)
