--- a/badgerseam/cluster/membership.py
+++ b/badgerseam/cluster/membership.py
@@ -101,7 +101,7 @@
         """Whether leases of workers may be renewed by this controller, whoever owns them."""
         return self.controller_lease.may_renew_worker_leases
 
-    def holds_lease_for(self, shard: Shard) -> bool:
+    def may_answer_heartbeats_for(self, shard: Shard) -> bool:
         """Whether heartbeats of the shard's workers may be answered."""
         claim = shard.claim
         return (
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -101,7 +101,7 @@
         if (
             not shard.owned
             or shard.releasing
-            or not self._member.holds_lease_for(shard)
+            or not self._member.may_answer_heartbeats_for(shard)
             or not self._member.lease_confirmed_within(MAX_LEASE_AGE_S)
         ):
             raise NotOwnerError(str(shard.index))
--- a/badgerseam/workers/direct_commands.py
+++ b/badgerseam/workers/direct_commands.py
@@ -63,7 +63,7 @@
         """Send a machine's pending commands if it can be reached; the model's lock is held."""
         if machine.command_in_flight or self._clock.now() < machine.next_push_at:
             return
-        if not self._member.holds_lease_for(self._model.shards[machine.shard]):
+        if not self._member.may_answer_heartbeats_for(self._model.shards[machine.shard]):
             return
         if machine.incarnation == 0:
             if machine.address:
--- a/badgerseam/workers/lease_expiry.py
+++ b/badgerseam/workers/lease_expiry.py
@@ -89,7 +89,9 @@
         now = self._clock.now()
         self._heartbeat_proxy.observe_peers()
         renewed_by_zone: dict[str, float] = {}
-        may_expire = [shard.owned and self._member.holds_lease_for(shard) for shard in model.shards]
+        may_expire = [
+            shard.owned and self._member.may_answer_heartbeats_for(shard) for shard in model.shards
+        ]
         for machine in model.machines.values():
             if machine.lost or not may_expire[machine.shard]:
                 continue
--- a/badgerseam/workers/worker_manager.py
+++ b/badgerseam/workers/worker_manager.py
@@ -130,7 +130,7 @@
 
     def _refuse_without_lease(self, shard: Shard) -> Reply | None:
         """Refuse if this controller may not act for the shard at present."""
-        if self._member.holds_lease_for(shard):
+        if self._member.may_answer_heartbeats_for(shard):
             return None
         return error_reply(503, "not entitled", RETRY_AFTER_S)
 
