--- a/badgerseam/cluster/peers.py
+++ b/badgerseam/cluster/peers.py
@@ -226,7 +226,7 @@
         tell whether anybody acts for our shards."""
         return self._silent_rounds >= MAX_SILENT_ROUNDS
 
-    async def keep_health(self) -> None:
+    async def run_health_checks(self) -> None:
         """Ask the peers whether they are there, and whether the state service answers them, until
         cancelled."""
         while True:
--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -133,7 +133,7 @@
             group.create_task(self.fleet.machine_types.keep_published())
             group.create_task(self.fleet.machine_list.keep_compared())
             group.create_task(self.fleet.keep_fleet())
-            group.create_task(self.peers.keep_health())
+            group.create_task(self.peers.run_health_checks())
             if self.standby is not None:
                 group.create_task(self.standby.keep())
             if self.explainer is not None and self.explainer.samples:
