--- a/badgerseam/controller_loops.py
+++ b/badgerseam/controller_loops.py
@@ -129,7 +129,7 @@
         """Plan for the shards that something has changed for."""
         model, standby, replicas = self._model, self._parts.standby, self._parts.replicas
         started_at = self._clock.now()
-        if standby is not None and not standby.gate.is_steady():
+        if standby is not None and not standby.gate.lease_confirmed_since_pause():
             # What has to be planned stays noted.
             return
         with model.lock:
--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -72,17 +72,17 @@
         state: StateClient,
         options: StandbyOptions,
         ask: Ask,
-        is_steady: Callable[[], bool],
+        lease_confirmed_since_pause: Callable[[], bool],
         on_update: Callable[[str, wire.SoftStateUpdate], None],
     ) -> None:
-        """`is_steady`: whether our own lease is confirmed after any pause; `on_update`: takes the
-        soft state that a peer has sent, with the peer's name."""
+        """`lease_confirmed_since_pause`: whether our own lease is confirmed after any pause;
+        `on_update`: takes the soft state that a peer has sent, with the peer's name."""
         self._model = model
         self._member = member
         self._state = state
         self._options = options
         self._ask = ask
-        self._is_steady = is_steady
+        self._lease_confirmed_since_pause = lease_confirmed_since_pause
         self._on_update = on_update
         self._clock = model.clock
         self.peers = {name: PeerState() for name in member.order if name != member.node}
@@ -191,7 +191,7 @@
         if not self._is_suspected(peer, now) or now < max(peer.retry_after, peer.rests_until):
             return
         lease = lease_of(self._model, name)
-        if lease is None or not self._is_steady():
+        if lease is None or not self._lease_confirmed_since_pause():
             return
         if peer.suspicion is None:
             peer.suspicion = Suspicion(lease, now, self._record_version(name))
--- a/badgerseam/standby/takeover_gate.py
+++ b/badgerseam/standby/takeover_gate.py
@@ -124,12 +124,12 @@
         return not self._member.receives_no_heartbeats
 
     def _is_lease_confirmed(self, _shard: Shard | None, _claim: ObservedClaim) -> bool:
-        return self.is_steady()
+        return self.lease_confirmed_since_pause()
 
     def _are_previous_owners_bounded(self, shard: Shard | None, claim: ObservedClaim) -> bool:
         return shard is None or previous_owner_bound_s(self._model, shard, claim) is not None
 
-    def is_steady(self) -> bool:
+    def lease_confirmed_since_pause(self) -> bool:
         """Whether our lease was confirmed, and none of our time has passed unnoticed since."""
         self._detect_pause()
         return self._member.lease_is_current and self._member.confirmed_at >= self._paused_at
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -64,7 +64,13 @@
         self.soft_state = SoftStateReceiver(model, options, tunables.window_s, blocked)
         self.soft_state_sender = SoftStateSender(model, options, process, blocked)
         self.failure_detector = FailureDetector(
-            model, member, state, options, ask, self.gate.is_steady, self.soft_state.on_update
+            model,
+            member,
+            state,
+            options,
+            ask,
+            self.gate.lease_confirmed_since_pause,
+            self.soft_state.on_update,
         )
         self._restarts: dict[str, PeerRestarts] = {}
 
