--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -135,7 +135,7 @@
             group.create_task(self.fleet.keep_fleet())
             group.create_task(self.peers.run_health_checks())
             if self.standby is not None:
-                group.create_task(self.standby.keep())
+                group.create_task(self.standby.run())
             if self.explainer is not None and self.explainer.samples:
                 group.create_task(self.explainer.keep_samples())
             if self.rollout is not None:
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -115,7 +115,7 @@
 
     # ---- driving ----
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """Watch the peers, until cancelled."""
         while True:
             await asyncio.sleep(self._step_s)
