--- a/badgerseam/cluster/__init__.py
+++ b/badgerseam/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The controllers among each other: leases, claims, leadership, takeovers, partitions."""
+"""Coordination between controllers: leases, claims, leadership, takeovers and partitions."""
--- a/badgerseam/cluster/availability.py
+++ b/badgerseam/cluster/availability.py
@@ -1,4 +1,4 @@
-"""Why a controller takes no shards."""
+"""The reasons for which a controller is unavailable, that is, takes no shards."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class UnavailableReason(Enum):
-    """A reason for which this controller takes no shard, and others are to act for its own."""
+    """A reason for which this controller takes no shards and other controllers should own them."""
 
     NO_HEARTBEATS = "hears no worker"
     DRAINING = "was asked to leave"
--- a/badgerseam/cluster/claims.py
+++ b/badgerseam/cluster/claims.py
@@ -1,4 +1,4 @@
-"""Writing and removing this controller's claims."""
+"""Writes and removes this controller's claims."""
 
 from __future__ import annotations
 
@@ -27,13 +27,14 @@
 WRITE_DEADLINE_S = 2.0
 REMOVAL_DEADLINE_S = 5.0
 CONFLICT_PAUSE_S = 0.2
-"""After a claim that another has taken, until the replica shows it."""
+"""Seconds to wait after another controller took the claim first, for the replica to show it."""
 REMOVAL_SHOWN_S = 0.5
-"""Within which the replica shows that a claim is removed."""
+"""Seconds within which the replica shows that a claim was removed."""
 
 
 class ClaimWriter:
-    """Takes claims on this controller's lease and gives them up, each by its version."""
+    """Takes claims with this controller's lease and gives them up, each conditionally on its
+    version."""
 
     def __init__(
         self,
@@ -53,21 +54,23 @@
         self._on_lease_lost = on_lease_lost
         self._on_change = on_change
         self._pending: set[str] = set()
-        """Keys of the claims whose writes are on their way."""
+        """Keys of the claims with a write in progress."""
         self._tasks = BackgroundTasks()
 
     # ---- taking ----
 
     def is_pending(self, key: str) -> bool:
-        """Whether a write of a claim is on its way."""
+        """Whether a write of a claim is in progress."""
         return key in self._pending
 
     def start_claim(self, key: str, replaced: ObservedClaim | None) -> None:
-        """Take a claim in the background, in place of one of ours or of none."""
+        """Take a claim in the background; `replaced` is this controller's claim that it replaces,
+        or None."""
         self._tasks.spawn(self._claim(key, replaced))
 
     def start_reclaim(self, shard: Shard, claim: ObservedClaim) -> None:
-        """Replace a claim of ours that tells nothing of the owners before, in the background."""
+        """Replace, in the background, a claim of this controller whose bound on previous owners
+        cannot be relied on."""
         key = claim_key(shard.index)
         if key not in self._pending:
             log.info("late claim replaced shard=%d term=%d", shard.index, claim.version)
@@ -84,9 +87,10 @@
         await self.write(key, version, lease, until)
 
     async def write(self, key: str, version: int, lease: int, until: float) -> bool:
-        """Write a claim of ours over `version`, 0 for none; whether that is durable.
+        """Write this controller's claim, replacing the one of `version` (0: no claim); returns
+        whether the claim is known to be durable.
 
-        `until`: by which time of day the owners before are past their bounds.
+        `until`: the wall-clock time by which all previous owners are past their partition bounds.
         """
         self._pending.add(key)
         record = wire.ClaimRecord(self._model.settings.node, lease, False, round(until, 3))
@@ -108,7 +112,8 @@
         except (StateUnavailableError, ProposalDroppedError):
             log.debug("claim not written key=%s", key)
         finally:
-            # The replica shows the claim before we act for it, with all that was written earlier.
+            # The controller acts on the claim only once the replica shows it, together with
+            # everything that was written earlier.
             self._pending.discard(key)
             self._on_change()
         return False
@@ -116,15 +121,15 @@
     # ---- giving up ----
 
     def resign(self, shard: Shard) -> None:
-        """Stop acting for a shard at once and give up its claim, if it is still ours."""
+        """Stop acting for a shard at once and remove its claim, if this controller still has it."""
         if shard.releasing:
             return
         claim = shard.claim
         if shard.owned:
             self._model.disown(shard)
-        if claim is None or not self._lease.carries(claim):
-            # Passed on while a write of ours was on its way: the next owner's claim is not ours to
-            # remove.
+        if claim is None or not self._lease.is_lease_of(claim):
+            # The claim passed to another controller while a write was in progress, and the next
+            # owner's claim must not be removed.
             return
         log.info("shard resigned shard=%d term=%d", shard.index, claim.version)
         shard.releasing = True
@@ -133,7 +138,7 @@
     def resign_leadership(self) -> None:
         """Give up the leadership."""
         claim = self._model.leader_claim
-        if claim is not None and self._lease.carries(claim):
+        if claim is not None and self._lease.is_lease_of(claim):
             log.info("leadership resigned term=%d", claim.version)
             self._tasks.spawn(self._remove(LEADER_KEY, claim.version))
 
@@ -142,7 +147,8 @@
             await self._remove(claim_key(shard.index), claim.version)
             await asyncio.sleep(REMOVAL_SHOWN_S)
         finally:
-            # Even if the removal failed, acting again takes a claim of a new version.
+            # Even if the removal failed, the old claim must not be acted on again: acting for the
+            # shard again requires a claim with a new version.
             shard.releasing = False
             if shard.claim is claim:
                 shard.claim = ObservedClaim(
@@ -151,8 +157,11 @@
         self._on_change()
 
     async def _remove(self, key: str, version: int) -> None:
-        """Remove a claim, by its version. Tried again while this controller takes no claim itself:
-        one left standing on our lease would keep all others from it."""
+        """Remove a claim, conditionally on its version.
+
+        The removal is retried while this controller is unavailable: a claim that remains on its
+        lease would keep all other controllers from taking it.
+        """
         removal = [wire.Write(delete=key)]
         while True:
             try:
--- a/badgerseam/cluster/controller_lease.py
+++ b/badgerseam/cluster/controller_lease.py
@@ -1,4 +1,5 @@
-"""This controller's lease in the state service, which its claims and its record stand on."""
+"""This controller's lease in the state service, to which its claims and its records are
+attached."""
 
 from __future__ import annotations
 
@@ -12,7 +13,7 @@
 
 
 class ControllerLease:
-    """The lease, when it was last confirmed, and what may be done on that."""
+    """Grants and renews the lease, and tells what its last confirmation still permits."""
 
     def __init__(self, model: Model, state: StateClient, ttl_s: float) -> None:
         self._model = model
@@ -21,39 +22,39 @@
         self._node = model.settings.node
         self.ttl_s = ttl_s
         self.number: int | None = None
-        """The state service's number of it; None while there is none."""
+        """The number that the state service gave the lease; None without a lease."""
         self.confirmed_at = -1e9
-        """Sending time of the last confirmed renewal, in seconds of the steady clock."""
+        """When the last confirmed renewal was sent, in seconds of the monotonic clock."""
 
     async def grant(self) -> None:
-        """Have a new lease granted; StateUnavailableError if that fails."""
+        """Request a new lease; raises StateUnavailableError if that fails."""
         sent_at = self._clock.now()
         number = await self._state.grant(self.ttl_s)
         self.number, self.confirmed_at = number, sent_at
         log.info("lease granted controller=%s lease=%d", self._node, number)
 
     async def renew(self, number: int) -> None:
-        """Renew the lease; LeaseExpiredError if it has ended."""
+        """Renew the lease; raises LeaseExpiredError if it has ended."""
         sent_at = self._clock.now()
         await self._state.renew(number, self.ttl_s / 3)
         self.confirmed_at = sent_at
 
     def confirmed_within(self, seconds: float) -> bool:
-        """Whether the state service confirmed the lease that recently."""
+        """Whether the last confirmed renewal was sent less than `seconds` ago."""
         return self.number is not None and self._clock.now() - self.confirmed_at < seconds
 
     @property
     def is_current(self) -> bool:
-        """Whether the state service has renewed the lease within its time to live."""
+        """Whether the last confirmed renewal is more recent than the lease's time to live."""
         return self.confirmed_within(self.ttl_s)
 
     @property
     def may_renew_worker_leases(self) -> bool:
-        """Whether leases of workers may be renewed by this controller, whoever owns them.
+        """Whether this controller may renew workers' leases, whichever controller owns them.
 
-        That the state service has confirmed our lease tells nothing of what it holds: a controller
-        whose watch was stuck renewed the leases of tasks that were cancelled elsewhere without end,
-        and one that renewed before it followed again after an outage launched them once more.
+        A confirmed lease does not make the replica current. A controller with a stalled watch would
+        otherwise renew forever the leases of tasks that were cancelled at another controller, and
+        one whose lease is renewed before its watch recovers from an outage would launch them again.
         """
         model = self._model
         replica_age_s = self._clock.now() - model.followed_at
@@ -62,8 +63,8 @@
             and replica_age_s < model.stale_renewal_bound_s
         )
 
-    def carries(self, claim: ObservedClaim | None) -> bool:
-        """Whether a claim is ours and stands on this very lease."""
+    def is_lease_of(self, claim: ObservedClaim | None) -> bool:
+        """Whether a claim names this controller and is attached to this lease."""
         return (
             claim is not None
             and claim.record.node == self._node
--- a/badgerseam/cluster/heartbeat_proxy.py
+++ b/badgerseam/cluster/heartbeat_proxy.py
@@ -1,23 +1,29 @@
-"""Answering heartbeats for an owner that cannot be reached, so that its workers' leases go on.
+"""Answers heartbeats as a proxy for an owner that cannot be reached, so that its workers' leases
+are still renewed.
 
-A zone that is partitioned goes on working inside, and two zones that lose each other still reach
-the state service: a worker there may find a controller, but not the one that owns its shard. A
-controller that cannot reach that owner either is a proxy for it: it answers such a heartbeat with
-the fencing token that the worker has shown, and no command but to halt what was cancelled. That
-changes nothing but the time at which the lease ends, so that end has to stay certain:
+Inside a partitioned zone workers and controllers still reach each other, and two zones that cannot
+reach each other may both reach the state service. A worker there may reach a controller, but not
+the one that owns its shard. A controller that cannot reach that owner either acts as its proxy: it
+answers such a heartbeat with the fencing token that the worker has shown, and with no commands
+except to halt cancelled tasks. This only extends the worker's lease, so the owner must still be
+able to determine when the lease has ended:
 
-- A controller that has lost the state service is a proxy only for workers of its own zone, which
-  may be cut off with it, only after its lease must have ended there, and for as long as an owner
-  that was cut off would answer (`partition_bound_s`). Its own record goes with that lease, and
-  owners count the bound from when they see it go.
-- One that has not lost it names first the owners that it is a proxy for, in a record on its lease,
-  and acts on that no longer than the lease must last, and than it follows the state service. As
-  long as the record names an owner, none of its machines' leases is known to have ended.
-- Incarnation and token stay valid by that, and with them whatever the owner has sent that is
-  delayed. So a machine is not answered where a launch of a cancelled task may be among it: where
-  the pages place one that the machine does not show. Its lease ends, and the launch is refused.
-- Before an owner concludes from silence that a lease has ended, it has the state service compare
-  these records with what it knows, at a time at which the lease would have ended already.
+- A controller that has lost the state service is a proxy only for workers in its own zone,
+  which may be cut off together with it; only after its lease must have ended in the state service;
+  and only for as long as an owner that is cut off would answer (`partition_bound_s`). Its own
+  record is removed with that lease, and owners count the bound from the time at which they see the
+  removal.
+- A controller that reaches the state service first writes a proxy record, attached to its lease,
+  that names the owners for which it is a proxy. It acts on that record only while its lease must be
+  valid and its watch is current. As long as the record names an owner, that owner does not consider
+  any of its machines' leases ended.
+- The renewal keeps the worker's incarnation and token valid, and with them any delayed command of
+  the owner. So the proxy does not answer a machine for which a launch of a cancelled task may be
+  delayed, that is, if the task pages place a cancelled task there that the heartbeat does not show.
+  The machine's lease then ends, and the launch is refused.
+- Before an owner concludes from missing heartbeats that a lease has ended, it has the state service
+  compare these records with the versions that it has seen, at a time at which the lease would
+  already have ended.
 """
 
 from __future__ import annotations
@@ -46,17 +52,17 @@
 
 log = logging.getLogger("badgerseam.cluster")
 
-SLACK_S = 0.6
-"""A controller's lease may end 100 ms late, and a request takes its time."""
+LEASE_END_SLACK_S = 0.6
+"""Seconds of tolerance: a controller's lease may end 100 ms late, and a request takes some time."""
 MIN_VERIFY_INTERVAL_S = 0.3
-"""Between two comparisons of the peers' records."""
+"""Minimum seconds between two comparisons of the peers' records."""
 DEADLINE_S = 2.0
-"""Of a write of our record, and of a comparison."""
+"""Deadline, in seconds, of a write of the proxy record and of a comparison."""
 
 
-class UnansweredRecord(NamedTuple):
-    """A proxy record of ours that was written without an answer: as long as its lease and the
-    version that it replaces are what is known, the write may still be executed."""
+class UnconfirmedWrite(NamedTuple):
+    """A write of this controller's proxy record that got no response. It may still be executed
+    while the lease and the version that it replaces are current."""
 
     lease: int
     version: int
@@ -64,7 +70,8 @@
 
 
 class HeartbeatProxy:
-    """Both sides: being a proxy for owners, and taking into account the peers that are ours."""
+    """Both sides of the protocol: acts as a proxy for other owners, and as an owner takes into
+    account the peers that may act as its proxies."""
 
     def __init__(
         self,
@@ -75,7 +82,7 @@
         ttl_s: float,
         is_unreachable: Callable[[str], bool],
     ) -> None:
-        self.partition = PartitionedOperation(model, member, self.is_counted_on_in)
+        self.partition = PartitionedOperation(model, member, self.owners_assume_renewals_in)
         self._model = model
         self._member = member
         self._state = state
@@ -86,32 +93,35 @@
         self._zone = model.settings.zone
         self._peer_zones = {sibling.node: sibling.zone for sibling in model.settings.siblings}
         self._record_versions: dict[str, tuple[int, int]] = {}
-        """Of each peer, the versions of its two records as last seen."""
+        """The last seen versions of each peer's controller record and proxy record."""
         self._isolated_until: dict[str, float] = {}
-        """Until when each peer may have renewed leases in its zone, without the state service."""
-        self._proxies_of_ours: dict[str, tuple[int, bool]] = {}
-        """Of each peer the latest version of a record that names us, and whether it still does."""
+        """Until when each peer may have renewed leases in its zone while it had lost the state
+        service."""
+        self._own_proxies: dict[str, tuple[int, bool]] = {}
+        """For each peer, the latest version of its proxy record that names this controller, and
+        whether the current one still does."""
         self._proxied_until = -1e9
-        """Until when one of these proxies may have renewed leases of ours."""
+        """Until when one of these proxies may have renewed leases of this controller's workers."""
         self._was_disconnected = False
         self._verified_at = -1e9
         self._verify_started_at = -1e9
         self._announced: frozenset[str] = frozenset()
-        """Owners that our record names, while we may act on it."""
+        """Owners that this controller's proxy record names and for which it may act as a proxy."""
         self._announced_lease: int | None = None
-        """The lease that this record stands on."""
+        """The lease to which that record is attached."""
         self.leases_may_end_early = False
-        """Whether peers' leases may be revoked before their time here."""
-        self._loads = 0
-        self._unanswered: UnansweredRecord | None = None
-        """The latest write of our record that may still be executed."""
-        self._writing = False
+        """Whether peers' leases may be revoked before they expire, which the standby does."""
+        self._load_count = 0
+        self._unconfirmed_write: UnconfirmedWrite | None = None
+        """The latest write of the proxy record that may still be executed, or None."""
+        self._is_writing = False
         self._tasks = BackgroundTasks()
 
     # ---- as a proxy ----
 
     def is_proxy_for(self, shard: Shard, zone: str) -> bool:
-        """Whether we answer heartbeats of the shard's workers in a zone in its owner's place."""
+        """Whether this controller answers heartbeats of the shard's workers in a zone as a proxy
+        for its owner."""
         claim, member = shard.claim, self._member
         if claim is None or claim.record.node == member.node:
             return False
@@ -121,18 +131,20 @@
             return False
         if claim.record.node in self._announced and member.lease_is_current:
             return self._model.is_up_to_date and self._announced_lease == member.lease
-        return self.is_counted_on_in(zone)
+        return self.owners_assume_renewals_in(zone)
 
     def launch_may_be_delayed(self, machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Whether a launch of a cancelled task may be delayed on its way to a machine, and a lease
-        that we renew would keep its token and incarnation valid beyond the time for that task.
+        """Whether a delayed launch of a cancelled task may still reach a machine, so that renewing
+        the machine's lease would keep the launch's token and incarnation valid for longer than the
+        cancelled task may run.
 
-        One that its owner saw end is in no page any more (`store/stale_pages.py`). Incarnations
-        tell nothing: a copy of an old heartbeat cannot be told from that of a machine whose lease
-        has ended for lack of our answer, and an owner may reach a machine that does not reach it.
+        A task that its owner saw end is in no task page any more (`store/stale_pages.py`). The
+        incarnation cannot decide this: a delayed copy of an old heartbeat looks the same as the
+        heartbeat of a machine whose lease has ended because this controller did not answer it, and
+        an owner may be able to reach a machine that cannot reach it.
         """
         model = self._model
-        # What we follow is up to STALE_S old when we act on it.
+        # The replica may be up to STALE_S old when it is acted on.
         ended_before = self._clock.now() - (model.stale_renewal_bound_s - STALE_S)
         shown = {(item.task, item.attempt) for item in heartbeat.tasks}
         return any(
@@ -142,20 +154,21 @@
             for attempt in machine.attempts.values()
         )
 
-    def is_counted_on_in(self, zone: str) -> bool:
-        """Whether owners count with our answers in a zone though no record of ours says so: it must
-        have ended with its lease, and the bound must not have."""
+    def owners_assume_renewals_in(self, zone: str) -> bool:
+        """Whether owners assume that this controller may renew leases in a zone although no proxy
+        record names them: its controller record must have been removed with its lease, and the
+        partition bound must not have passed."""
         member = self._member
         return (
             zone == self._zone
-            and not member.lease_confirmed_within(self._ttl_s + SLACK_S)
+            and not member.lease_confirmed_within(self._ttl_s + LEASE_END_SLACK_S)
             and member.may_renew_worker_leases
         )
 
     def review(self) -> None:
-        """Keep our record up to date: whose proxy we are; called a few times a second."""
+        """Keep the proxy record up to date; called a few times a second."""
         model, member = self._model, self._member
-        if not model.loaded or self._writing or not member.lease_is_current:
+        if not model.loaded or self._is_writing or not member.lease_is_current:
             return
         wanted = frozenset(
             name
@@ -166,29 +179,30 @@
         named: frozenset[str] = frozenset()
         if known is not None and known.record.lease == member.lease:
             named = frozenset(known.record.owners)
-        # From here on nothing is answered for one that is to be named no more, whatever becomes of
-        # the write.
+        # From now on this controller is no longer a proxy for the owners that the record is to
+        # drop, whether or not the write succeeds.
         self._announced = wanted & named
         self._announced_lease = member.lease
         version = 0 if known is None else known.version
-        lost = self._unanswered_on(member.lease, version)
-        if lost is not None:
-            # Executed late, it names others; owners would count without us before we see it.
-            self._announced &= lost.owners
-        if (wanted != named or lost is not None) and member.lease is not None:
-            self._writing = True
+        unconfirmed = self._unconfirmed_write_for(member.lease, version)
+        if unconfirmed is not None:
+            # If that write is executed late, the record names other owners: those that it drops
+            # stop assuming renewals before this replica shows it.
+            self._announced &= unconfirmed.owners
+        if (wanted != named or unconfirmed is not None) and member.lease is not None:
+            self._is_writing = True
             self._tasks.spawn(self._write_record(wanted, member.lease, version))
 
-    def _unanswered_on(self, lease: int | None, version: int) -> UnansweredRecord | None:
-        """The unanswered write on this lease and version, if there is one."""
-        record = self._unanswered
+    def _unconfirmed_write_for(self, lease: int | None, version: int) -> UnconfirmedWrite | None:
+        """Returns the write without a response for this lease and version, or None."""
+        record = self._unconfirmed_write
         if record is None or (record.lease, record.version) != (lease, version):
             return None
         return record
 
     async def _write_record(self, owners: frozenset[str], lease: int, version: int) -> None:
-        # A record is never taken away, except by the end of its lease: one that came and went
-        # between two looks would leave no trace.
+        # A proxy record is removed only by the end of its lease. One that was written and deleted
+        # between two checks would leave no trace for the owners.
         key = proxy_key(self._member.node)
         record = wire.ProxyRecord(self._member.node, lease, sorted(owners))
         write = wire.Write(put=key, value=wire.raw(record), lease=lease)
@@ -211,24 +225,25 @@
         ) as error:
             log.debug("proxy record not written key=%s error=%r", key, error)
             if isinstance(error, StateUnavailableError | ConditionFailedError):
-                # Refused, it may have been executed without an answer: until the replica shows
-                # it, owners may count without us as well.
-                before = self._unanswered_on(lease, version)
+                # Even if the write was refused, an earlier attempt of it may have been executed and
+                # its response lost. Until the replica shows the record, the owners that it drops
+                # may have stopped assuming renewals.
+                before = self._unconfirmed_write_for(lease, version)
                 if before is not None:
                     owners &= before.owners
-                self._unanswered = UnansweredRecord(lease, version, owners)
+                self._unconfirmed_write = UnconfirmedWrite(lease, version, owners)
         finally:
-            self._writing = False
+            self._is_writing = False
 
     # ---- as an owner ----
 
     def observe_peers(self) -> None:
-        """Take note of the peers' records; called a few times a second."""
+        """Update what is known of the peers' records; called a few times a second."""
         now = self._clock.now()
         self._observe_outage(now)
-        # A replica that was read anew does not tell what came and went before.
-        has_reloaded = self._loads != self._model.load_count
-        self._loads = self._model.load_count
+        # A full reload of the replica does not show records that were written and removed before.
+        has_reloaded = self._load_count != self._model.load_count
+        self._load_count = self._model.load_count
         for name in self._peer_zones:
             self._observe_records(name, has_reloaded, now)
             self._observe_proxy(name, has_reloaded, now)
@@ -237,16 +252,17 @@
         if not self._member.lease_confirmed_within(self._ttl_s / 2):
             self._was_disconnected = True
         elif self._was_disconnected:
-            # If it was an outage, every lease has had its full time again, a peer's that is cut
-            # off among them: its record tells nothing before that has ended.
+            # After an outage every lease starts again with its full time to live, including that
+            # of a peer that is cut off: its record proves nothing until that time has passed.
             self._was_disconnected = False
             for name in self._peer_zones:
                 self._isolated_until[name] = max(
-                    self._isolated_until.get(name, now), now + self._ttl_s + SLACK_S
+                    self._isolated_until.get(name, now), now + self._ttl_s + LEASE_END_SLACK_S
                 )
 
     def _observe_records(self, name: str, has_reloaded: bool, now: float) -> None:
-        """Note the versions of a peer's records, and whether it may lack the state service."""
+        """Record the versions of a peer's records, and until when it may act without the state
+        service."""
         model = self._model
         controller, proxy = model.controllers.get(name), model.proxies.get(name)
         versions = (
@@ -254,31 +270,32 @@
             0 if proxy is None else proxy.version,
         )
         if has_reloaded or self._record_versions.get(name, (-1, 0))[0] != versions[0]:
-            # Back with a record of its own, it has the state service again.
+            # A peer whose controller record is back can reach the state service again.
             isolated_s = 0.0 if controller is not None else model.partition_bound_s
             self._isolated_until[name] = now + isolated_s
         self._record_versions[name] = versions
 
     def _observe_proxy(self, name: str, has_reloaded: bool, now: float) -> None:
-        """Note whether a peer is a proxy for us, or has been since the last call."""
+        """Record whether a peer is a proxy for this controller, or was since the last call."""
         proxy = self._model.proxies.get(name)
         node = self._member.node
         named_at = self._model.proxy_bounds.get((name, node), 0)
         is_named = proxy is not None and node in proxy.record.owners
-        before = self._proxies_of_ours.get(name)
+        before = self._own_proxies.get(name)
         if has_reloaded or is_named or before != (named_at, is_named):
-            # Where its record went with its lease, that may have been revoked early
-            # (badgerseam/standby/failure_detector.py), and it acts on the record for as long as
-            # the lease would have lasted. Read anew, that may go unseen.
+            # If the record was removed with its lease, that lease may have been revoked early
+            # (badgerseam/standby/failure_detector.py), and the peer acts on the record for as long
+            # as the lease would have lasted. A full reload may hide such a removal.
             is_gone = proxy is None and (
                 self.leases_may_end_early if has_reloaded else before is not None
             )
-            rest_s = self._ttl_s + SLACK_S if is_gone else 0.0
-            self._proxied_until = max(self._proxied_until, now + rest_s)
-        self._proxies_of_ours[name] = named_at, is_named
+            remaining_s = self._ttl_s + LEASE_END_SLACK_S if is_gone else 0.0
+            self._proxied_until = max(self._proxied_until, now + remaining_s)
+        self._own_proxies[name] = named_at, is_named
 
     def leases_renewed_until(self, zone: str) -> float:
-        """Until when a peer may have renewed leases of ours in a zone."""
+        """Returns until when a peer may have renewed leases of this controller's workers in a
+        zone."""
         until = (
             self._isolated_until[name]
             for name, peer_zone in self._peer_zones.items()
@@ -287,7 +304,8 @@
         return max(self._proxied_until, max(until, default=-1e9))
 
     def confirmed_since(self, at: float) -> bool:
-        """Whether what is known of the peers was true at that time; asks if not."""
+        """Whether the known versions of the peers' records were verified at or after the given
+        time; if not, starts a comparison."""
         if not self._peer_zones:
             return True
         if self._was_disconnected or not self._record_versions:
--- a/badgerseam/cluster/membership.py
+++ b/badgerseam/cluster/membership.py
@@ -1,7 +1,7 @@
-"""This controller's place among the controllers: its lease, its record, its claims.
+"""This controller's membership in the cluster: its lease, its record and its claims.
 
-Each of the three has a module of its own; here they meet, and the rest of the controller asks here
-what it may do.
+Each of the three has a module of its own. This one combines them, and tells the rest of the
+controller what it may do.
 """
 
 from __future__ import annotations
@@ -27,18 +27,19 @@
 
 log = logging.getLogger("badgerseam.cluster")
 
-RETURN_PAUSE_S = 0.5
-"""After a shard's home was asked to take it over, until it is asked again."""
+RETURN_RETRY_S = 0.5
+"""Seconds to wait after asking a shard's home controller to take it over, before asking again."""
 MAX_RENEWAL_PAUSES = 3
-"""Up to which the pause between failed renewals grows, in steps of the state client."""
+"""Maximum pause between failed renewals, in steps of the state client's backoff."""
 
 RequestTakeover = Callable[[str, str, int], Awaitable[bool | None]]
-"""Asks a peer, by name, to take a claim of ours over, by its key and version: whether it says that
-it has; None if it cannot be asked."""
+"""Asks a peer, by name, to take over a claim of this controller, by key and version. Returns
+whether the peer says that it has done so; None if it cannot be asked."""
 
 
 class Membership:
-    """Keeps the lease, and compares the claims that the replica shows with those we should have."""
+    """Maintains the lease, and reconciles the claims in the replica with those that this controller
+    should have."""
 
     def __init__(
         self,
@@ -72,37 +73,38 @@
         )
         self.request_takeover: RequestTakeover | None = None
         self._returning: set[int] = set()
-        """Shards whose homes are being asked to take them over."""
+        """Shards whose home controllers are being asked to take them over."""
         self._tasks = BackgroundTasks()
 
     # ---- what this controller may do ----
 
     @property
     def lease(self) -> int | None:
-        """The number of our lease; None while we have none."""
+        """The number of this controller's lease; None without a lease."""
         return self.controller_lease.number
 
     @property
     def confirmed_at(self) -> float:
-        """Sending time of the last confirmed renewal of our lease."""
+        """When the last confirmed renewal of the lease was sent, in seconds of the monotonic
+        clock."""
         return self.controller_lease.confirmed_at
 
     def lease_confirmed_within(self, seconds: float) -> bool:
-        """Whether the state service confirmed our lease that recently."""
+        """Whether the last confirmed renewal of the lease was sent less than `seconds` ago."""
         return self.controller_lease.confirmed_within(seconds)
 
     @property
     def lease_is_current(self) -> bool:
-        """Whether the state service has renewed our lease within its time to live."""
+        """Whether the last confirmed renewal is more recent than the lease's time to live."""
         return self.controller_lease.is_current
 
     @property
     def may_renew_worker_leases(self) -> bool:
-        """Whether leases of workers may be renewed by this controller, whoever owns them."""
+        """Whether this controller may renew workers' leases, whichever controller owns them."""
         return self.controller_lease.may_renew_worker_leases
 
     def may_answer_heartbeats_for(self, shard: Shard) -> bool:
-        """Whether heartbeats of the shard's workers may be answered."""
+        """Whether this controller may answer heartbeats of the shard's workers as its owner."""
         claim = shard.claim
         return (
             shard.owned
@@ -113,25 +115,26 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether the leadership may be acted on now."""
+        """Whether this controller may act as the leader now."""
         claim = self._model.leader_claim
         return (
             claim is not None
-            and self.controller_lease.carries(claim)
+            and self.controller_lease.is_lease_of(claim)
             and self.lease_is_current
-            # What the model showed when it was left alone may be long past.
+            # The replica is not updated while the site's level is unsupported, so its claim on the
+            # leadership may be long out of date.
             and not self.is_unavailable(UnavailableReason.UNSUPPORTED_LEVEL)
             and self.claim_policy.may_act_as_leader(claim)
         )
 
     def takeover_candidates(self) -> list[str]:
-        """The other controllers that would take a shard now, the least busy first."""
+        """Returns the available peers, the one that owns the fewest shards first."""
         return candidates_besides(self._model, self.order, self.node)
 
     # ---- the lease ----
 
     async def keep_lease(self) -> None:
-        """Have a lease and renew it, until cancelled."""
+        """Acquire a lease and renew it, until cancelled."""
         failures = 0
         while True:
             try:
@@ -172,7 +175,8 @@
     # ---- claims ----
 
     def review(self) -> None:
-        """Compare the claims that the replica shows with what we act for and should claim."""
+        """Reconcile the claims in the replica with the shards that this controller acts for, and
+        take or return claims as needed."""
         model = self._model
         now = self._clock.now()
         with model.lock:
@@ -195,20 +199,21 @@
         if not shard.owned:
             return
         claim = shard.claim
-        is_ours = claim is not None and self.controller_lease.carries(claim)
-        if claim is None or not is_ours or claim.version != shard.term:
+        is_own_claim = claim is not None and self.controller_lease.is_lease_of(claim)
+        if claim is None or not is_own_claim or claim.version != shard.term:
             log.info("claim lost shard=%d term=%d", shard.index, shard.term)
             self._model.disown(shard)
 
     def _own_if_claimed(self, shard: Shard) -> None:
-        """Begin to act for a shard whose claim of ours the replica shows."""
+        """Start to act for a shard if the replica shows this controller's claim on it."""
         claim = shard.claim
         if shard.owned or shard.releasing:
             return
-        if claim is None or not self.controller_lease.carries(claim):
+        if claim is None or not self.controller_lease.is_lease_of(claim):
             return
         if self.registration.unavailable_reasons and self.claim_policy.takeover_checks is None:
-            # Carried out late, behind its release. The takeover gate has a check for that, too.
+            # The write of the claim was applied late, after its removal. The takeover gate has its
+            # own check for this.
             self.resign(shard)
             return
         if not self.claim_policy.may_act_on_shard(shard, claim):
@@ -228,19 +233,19 @@
             self._return_home(shard)
 
     def reclaim(self, shard: Shard, claim: ObservedClaim) -> None:
-        """Replace a claim of ours that tells nothing of the owners before."""
+        """Replace a claim of this controller whose bound on previous owners cannot be relied on."""
         self._claims.start_reclaim(shard, claim)
 
     async def take_over_claim(self, key: str, version: int) -> bool:
-        """Take a claim over from the peer that has it, at its own request and in one step, so that
-        nobody is without an owner in between; whether that is durable."""
+        """Take a claim over from a peer at its request; returns whether the new claim is known to
+        be durable. The claim is replaced in one step, so that the shard always has an owner."""
         lease = self.lease
         model = self._model
         if lease is None or self.registration.unavailable_reasons:
             return False
         if not self.registration.is_written or self._claims.is_pending(key):
             return False
-        # One that does not follow the changes would not see its claim, nor act on it.
+        # With a stalled watch this controller would neither see the claim nor act on it.
         if not model.is_up_to_date or not model.is_supported:
             return False
         if not self.claim_policy.may_claim(key):
@@ -248,18 +253,18 @@
         return await self._claims.write(key, version, lease, previous_owner_until(model, None))
 
     def resign(self, shard: Shard) -> None:
-        """Stop acting for a shard at once and give up its claim, if it is still ours."""
+        """Stop acting for a shard at once and remove its claim, if this controller still has it."""
         self._claims.resign(shard)
 
     def resign_leadership(self) -> None:
         """Give up the leadership."""
         self._claims.resign_leadership()
 
-    # ---- a shard that goes back to its home ----
+    # ---- returning a shard to its home controller ----
 
     def _return_home(self, shard: Shard) -> None:
-        """Have a shard's home take it over, in one step; given up if it cannot be asked, as a
-        program from before such requests cannot."""
+        """Ask a shard's home controller to take it over in one step. The shard is resigned if the
+        home cannot be asked, for example because its program version lacks such requests."""
         claim, request = shard.claim, self.request_takeover
         if request is None or claim is None:
             self.resign(shard)
@@ -274,8 +279,9 @@
             home = self.claim_policy.home_of(shard)
             is_taken = await request(home, claim_key(shard.index), claim.version)
             if is_taken is not None:
-                # The replica is about to show it; or it is not ready to act, and asked again.
-                await asyncio.sleep(RETURN_PAUSE_S)
+                # Either the replica is about to show the takeover, or the home is not ready yet
+                # and is asked again.
+                await asyncio.sleep(RETURN_RETRY_S)
                 return
             with self._model.lock:
                 if shard.owned and shard.claim is claim:
@@ -283,32 +289,35 @@
         finally:
             self._returning.discard(shard.index)
 
-    # ---- a controller that others are to act for ----
+    # ---- availability ----
 
     @property
     def receives_no_heartbeats(self) -> bool:
-        """No worker reaches us: others are to act for our shards."""
+        """Whether this controller is unavailable because it receives no heartbeats from workers, so
+        that other controllers should own its shards."""
         return self.is_unavailable(UnavailableReason.NO_HEARTBEATS)
 
     def is_unavailable(self, reason: UnavailableReason) -> bool:
-        """Whether that is a reason for which we take no shard."""
+        """Whether this controller takes no shards for the given reason."""
         return reason in self.registration.unavailable_reasons
 
     def mark_unavailable(self, reason: UnavailableReason) -> None:
-        """Take no shard from now on. Those that we own are for the caller to pass on."""
+        """Add a reason not to take shards. The caller has to hand over the shards already owned."""
         self.registration.mark_unavailable(reason)
 
     def mark_available(self, reason: UnavailableReason) -> None:
-        """Take back one reason not to take shards."""
+        """Remove a reason not to take shards."""
         self.registration.mark_available(reason)
 
     async def announce_unavailable(self) -> bool:
-        """Write to our record that we are unavailable; whether that is known to be durable."""
+        """Write this controller's record with its unavailability; returns whether it is known to be
+        durable."""
         await self.registration.write()
         return self.registration.is_written
 
     def withdraw_if_replaceable(self) -> bool:
-        """Have others act for our shards, until `mark_available`; False if there is nobody else."""
+        """Leave this controller's shards to peers until `mark_available` is called; returns False
+        if no peer is available."""
         if self.receives_no_heartbeats or self.lease is None or not self.takeover_candidates():
             return False
         self.registration.unavailable_reasons.add(UnavailableReason.NO_HEARTBEATS)
@@ -316,7 +325,8 @@
         return True
 
     async def _withdraw(self) -> None:
-        # Known to the others first: they would leave the shards to us for a while.
+        # The record is written first: otherwise peers would leave the shards to this controller
+        # for a while, as their home.
         await self.registration.write()
         with self._model.lock:
             for shard in self._model.shards:
@@ -324,11 +334,12 @@
                     self.resign(shard)
 
     def deactivate(self) -> None:
-        """Act for nothing from now on: the program does not support the site's level."""
+        """Give up all shards and the leadership, because the program does not support the site's
+        level."""
         self.mark_unavailable(UnavailableReason.UNSUPPORTED_LEVEL)
         with self._model.lock:
             for shard in self._model.shards:
                 if shard.owned:
                     self.resign(shard)
-        if self.controller_lease.carries(self._model.leader_claim):
+        if self.controller_lease.is_lease_of(self._model.leader_claim):
             self.resign_leadership()
--- a/badgerseam/cluster/partition.py
+++ b/badgerseam/cluster/partition.py
@@ -1,19 +1,23 @@
-"""A controller without the state service and its peers, and the workers that still reach it.
-
-Its workers reach it as before, while a peer acts for its shards as soon as its lease has ended.
-From within it looks like an outage for all, in which every worker's lease would end if it
-redirected its workers. What tells the two apart for certain is a worker: a term is the version of a
-write that the state service has executed, so that a fencing token above the one that we could have
-issued ourselves was issued by a later owner, which has reached that worker since.
-
-- A shard's workers of a zone are redirected as soon as one of them shows such a token. Other zones'
-  are not: what has reached one zone need not reach another.
-- Each is redirected once for a token. One that comes back with it has found nobody: the later owner
-  may have ended as well. Then its lease is renewed here, without a command but to halt what was
-  cancelled, for as long as owners count with that: until the bound, and, where it shows a token of
-  that owner's, only in our own zone and after our record must have ended.
-- A machine that we may have transferred ourselves, in a write without an answer, proves nothing:
-  the other shard's owner has answered it, and our shard stays ours.
+"""Operation of a controller that cannot reach the state service or its peers, but whose workers
+still reach it.
+
+Once the lease of such a controller has ended, a peer acts for its shards, while its workers still
+send their heartbeats to it. The controller cannot tell this by itself from an outage of the state
+service, in which redirecting its workers would end all their leases. Only a worker can prove the
+difference: a term is the version of a write that the state service has executed, so a fencing token
+above any that this controller could have issued was issued by a later owner, which has reached that
+worker in the meantime.
+
+- As soon as one worker shows such a token, the workers of its shard in its zone are redirected.
+  Workers in other zones are not: an owner that reaches one zone need not reach another.
+- Each worker is redirected once for each token. A worker that comes back with the same token has
+  found no other controller: the later owner may have ended as well. Its lease is then renewed here,
+  with no commands except to halt cancelled tasks, for as long as owners assume such renewals:
+  until the partition bound, and, if the worker shows a token of the later owner, only in this
+  controller's own zone and after its own record must have ended.
+- A machine that this controller may have transferred to another shard, in a write without a
+  response, proves nothing: the token may come from the other shard's owner, while this controller
+  still owns its own shard.
 """
 
 from __future__ import annotations
@@ -31,7 +35,7 @@
 
 
 class HeartbeatVerdict(Enum):
-    """How the heartbeat of a worker of ours is answered; each value says why."""
+    """How a heartbeat of an owned shard's worker is answered; each value gives the reason."""
 
     ANSWER = "goes on as ever"
     REDIRECT = "the share has a later owner"
@@ -39,32 +43,36 @@
 
 
 class PartitionedOperation:
-    """What workers prove to a controller that has lost the state service."""
+    """Decides, from the fencing tokens that workers show, how a controller that has lost the state
+    service answers their heartbeats."""
 
     def __init__(
-        self, model: Model, member: Membership, is_counted_on_in: Callable[[str], bool]
+        self, model: Model, member: Membership, owners_assume_renewals_in: Callable[[str], bool]
     ) -> None:
-        """`is_counted_on_in`: whether owners count with our answers to their workers in a zone."""
+        """`owners_assume_renewals_in`: whether owners assume that this controller may renew leases
+        of their workers in a zone."""
         self._model = model
         self._member = member
-        self._is_counted_on_in = is_counted_on_in
+        self._owners_assume_renewals_in = owners_assume_renewals_in
         self._superseded_terms: dict[tuple[int, str], int] = {}
-        """The term of ours that a worker has shown to be superseded, by shard and zone."""
+        """This controller's term that a worker's token has proved to be superseded, by shard and
+        zone."""
         self._redirected_tokens: dict[str, int] = {}
         """The highest token with which each machine was redirected, by name."""
 
     @property
     def is_partitioned(self) -> bool:
-        """Whether the state service certainly serves others, and does not serve us."""
+        """Whether the state service certainly serves other controllers, but not this one."""
         return not self._member.lease_is_current and any(
             self._model.shards[index].owned and self._model.shards[index].term == term
             for (index, _), term in self._superseded_terms.items()
         )
 
     def verdict(self, shard: Shard, machine: Machine, token: int) -> HeartbeatVerdict:
-        """How a worker of a shard of ours is answered that shows that token."""
-        if self._served_recently():
-            # The replica tells who owns the shard; a worker that knows more has to go all the same.
+        """Returns how to answer a worker of an owned shard that shows the given token."""
+        if self._reset_if_connected():
+            # The replica tells who owns the shard, but a worker with a newer token is redirected
+            # all the same.
             return (
                 HeartbeatVerdict.REDIRECT
                 if token > machine.fencing_token
@@ -85,21 +93,23 @@
         if not is_newer and self._superseded_terms.get(shard_zone) != shard.term:
             return HeartbeatVerdict.ANSWER
         if self._is_first_redirect(machine, token) or (
-            is_newer and not self._is_counted_on_in(machine.zone)
+            is_newer and not self._owners_assume_renewals_in(machine.zone)
         ):
             return HeartbeatVerdict.REDIRECT
         return HeartbeatVerdict.PROXY
 
     def should_redirect_proxied(self, shard: Shard, machine: Machine, token: int) -> bool:
-        """Whether a worker whose heartbeats we would proxy knows a later owner than we do."""
-        if self._served_recently() or shard.claim is None:
+        """Whether to redirect a worker whose heartbeats this controller would answer as a proxy:
+        its token proves a later owner than the replica shows, and was not redirected before."""
+        if self._reset_if_connected() or shard.claim is None:
             return False
         if token >> BUMP_BITS <= max(shard.claim.version, machine.version):
             return False
         return self._is_first_redirect(machine, token)
 
-    def _served_recently(self) -> bool:
-        """Whether the state service has answered of late; what was known before is dropped then."""
+    def _reset_if_connected(self) -> bool:
+        """Whether the state service has renewed the lease recently; if so, forgets the tokens seen
+        before."""
         if not self._member.lease_is_current:
             return False
         self._superseded_terms.clear()
@@ -108,6 +118,7 @@
 
     def _is_first_redirect(self, machine: Machine, token: int) -> bool:
         latest = self._redirected_tokens.get(machine.name, -1)
-        # A copy of an older heartbeat, delayed, must not make it leave once more.
+        # A delayed copy of an older heartbeat must not lower the token: the worker would be
+        # redirected once more.
         self._redirected_tokens[machine.name] = max(latest, token)
         return token > latest
--- a/badgerseam/cluster/peers.py
+++ b/badgerseam/cluster/peers.py
@@ -1,4 +1,4 @@
-"""Requests between controllers."""
+"""Sends and answers requests between controllers."""
 
 from __future__ import annotations
 
@@ -23,26 +23,28 @@
 log = logging.getLogger("badgerseam.cluster")
 
 MAX_STATE_AGE_S = 3.0
-"""Without an answer of the state service for so long, something is wrong."""
+"""Seconds without a response of the state service after which it counts as unreachable."""
 HEALTH_INTERVAL_S = 1.0
-"""Between rounds of health checks, and the deadline of each."""
+"""Seconds between rounds of health checks, and the deadline of each check."""
 MAX_UNANSWERED = 3
-"""Requests without an answer after which a peer counts as unreachable."""
-MAX_SILENT_ROUNDS = 4
-"""Rounds of asking, a second each, in which nobody has answered anything, after which we are cut
-off. Counted, like what is missed, and above what a request to the state service may wait for."""
+"""Requests without a response after which a peer counts as unreachable."""
+MAX_UNANSWERED_ROUNDS = 4
+"""Consecutive rounds of health checks, one second each, without any response, after which this
+controller counts as isolated. Rounds are counted, as unanswered requests are, rather than seconds;
+together they take longer than a request to the state service may wait."""
 TAKEOVER_DEADLINE_S = 1.5
-"""What a peer gets to take a claim over: a write or two."""
+"""Deadline, in seconds, for a peer to take over a claim, which takes it one or two writes."""
 TRANSFER_DEADLINE_S = 3.0
 LEADER_DEADLINE_S = 0.5
-"""What the leader gets to say what it knows of the cloud: a user waits for the answer."""
+"""Deadline, in seconds, for the leader to return its view of the cloud; short because a user waits
+for the response."""
 
 LocalAnswers = Callable[[int, list[str]], Awaitable[list[explain.Why] | None]]
-"""Answers about jobs of a shard; None if this controller does not plan for it."""
+"""Explains why jobs of a shard wait; returns None if this controller does not plan the shard."""
 
 
 class Peers:
-    """Both ends of what controllers ask of each other."""
+    """Client and server of the requests between controllers."""
 
     def __init__(
         self,
@@ -59,17 +61,17 @@
         self._cloud_view: Callable[[], CloudView | None] = lambda: None
         self._take_over: Callable[[str, int], Awaitable[bool]] | None = None
         self.standby: Callable[[str, bytes], Awaitable[Reply]] | None = None
-        """Answers the peers' standby requests, where that is switched on."""
-        self._served_peer: str | None = None
-        self._served_peer_at = -1e9
+        """Handles the peers' standby requests; None unless the standby is enabled."""
+        self._peer_with_state: str | None = None
+        self._peer_with_state_at = -1e9
         self._model = model
         self._http = http
         self._machine_transfer = machine_transfer
         self._node = settings.node
         self._unanswered = {sibling.node: 0 for sibling in settings.siblings}
-        """Requests without an answer, less those answered since."""
-        self._silent_rounds = 0
-        """In a row, without an answer of the state service or of a peer."""
+        """For each peer, the requests without a response, less those answered since."""
+        self._unanswered_rounds = 0
+        """Consecutive rounds without a response from the state service or any peer."""
         self._addresses = {sibling.node: sibling.peer_addr for sibling in settings.siblings}
 
     async def handle(self, method: str, path: str, body: bytes) -> Reply:
@@ -102,8 +104,8 @@
     # ---- takeovers ----
 
     def accept_takeovers_with(self, take_over: Callable[[str, int], Awaitable[bool]]) -> None:
-        """Take claims over that peers hand over: `take_over` gets the key and version, and tells
-        whether that is durable."""
+        """Set the handler for claims that peers hand over: `take_over` gets the key and the
+        version, and returns whether the new claim is known to be durable."""
         self._take_over = take_over
 
     async def _answer_takeover(self, body: bytes) -> Reply:
@@ -119,9 +121,12 @@
         return Reply(200)
 
     async def request_takeover(self, node: str, key: str, version: int) -> bool | None:
-        """Have a peer take a claim of ours over; whether it says that it has, None if it cannot
-        be asked (it may be a program from before such requests). No answer is no proof of the
-        contrary: the replica tells."""
+        """Ask a peer to take over a claim of this controller.
+
+        Returns whether the peer says that it has done so; None if it cannot be asked, for example
+        because its program version lacks such requests. Without a response the claim may have been
+        taken over all the same, which the replica shows later.
+        """
         address = self._addresses.get(node)
         if address is None:
             return None
@@ -138,7 +143,8 @@
     def answer_questions_with(
         self, local: LocalAnswers, view: Callable[[], CloudView | None]
     ) -> None:
-        """Answer peers' questions with these from now on."""
+        """Set the handlers for peers' requests to explain waiting jobs and to return the view of
+        the cloud."""
         self._explain_shard = local
         self._cloud_view = view
 
@@ -159,18 +165,18 @@
     async def ask_owner(
         self, node: str, question: explain.Question, deadline_s: float
     ) -> list[explain.Why] | None:
-        """Another controller's answers; None if there are none in time."""
+        """Returns another controller's explanations; None if it does not respond in time."""
         body = explain.encode(question)
         response = await self._request(node, "POST", "/why", body, deadline_s)
         try:
             return None if response is None else explain.answers_decoder.decode(response).answers
         except msgspec.DecodeError as error:
-            # Another version, while controllers are being replaced one by one.
+            # The peer may run another program version during a rolling update.
             log.debug("response not decoded controller=%s path=/why error=%s", node, error)
             return None
 
     async def ask_leader(self) -> CloudView | None:
-        """The leader's view of the cloud; None if it cannot be asked."""
+        """Returns the leader's view of the cloud; None if it cannot be asked."""
         view = self._cloud_view()
         leader = self._model.leader_claim
         if view is not None or leader is None or leader.record.node == self._node:
@@ -198,7 +204,8 @@
         return response.body if response.status == 200 else None
 
     async def ask_standby(self, node: str, path: str, body: bytes, deadline_s: float) -> bytes:
-        """The body of a peer's response; NoResponseError, and of which kind, if there is none."""
+        """Returns the body of a peer's response to a standby request; raises NoResponseError, or
+        the subclass for the kind of failure, if there is none."""
         response = await self._http.request(self._addresses[node], "POST", path, body, deadline_s)
         if response.status != 200:
             raise NoResponseError(f"{node}{path}: {response.status}")
@@ -210,43 +217,45 @@
         return self._model.clock.now() - self._state.confirmed_at
 
     def peer_with_state_service(self) -> str | None:
-        """The peer that the state service serves while it does not serve us, if there is one."""
-        recent = self._model.clock.now() - self._served_peer_at < 3 * HEALTH_INTERVAL_S
-        return self._served_peer if recent and self._state_age_s() > MAX_STATE_AGE_S else None
+        """Returns a peer that reaches the state service while this controller does not, or None."""
+        recent = self._model.clock.now() - self._peer_with_state_at < 3 * HEALTH_INTERVAL_S
+        return self._peer_with_state if recent and self._state_age_s() > MAX_STATE_AGE_S else None
 
     def is_unreachable(self, node: str) -> bool:
-        """Whether a peer has not answered us for a while; one that answers again has to do so
-        as often. Counted, not timed: a process that stood still has asked nobody."""
+        """Whether a peer has left several requests unanswered. A peer that responds again must do
+        so about as often before it counts as reachable. Requests are counted rather than seconds
+        because a process that was suspended has sent none in the meantime."""
         return self._unanswered.get(node, 0) >= MAX_UNANSWERED
 
     @property
     def is_isolated(self) -> bool:
-        """Whether neither the state service nor a peer has answered us for a while, not even to
-        refuse: in an outage the state service answers 503, so that this lies with us. It does not
-        tell whether anybody acts for our shards."""
-        return self._silent_rounds >= MAX_SILENT_ROUNDS
+        """Whether neither the state service nor any peer has sent a response for a while, not even
+        an error. In an outage the state service still answers 503, so the fault lies with this
+        controller. This does not tell whether another controller acts for its shards."""
+        return self._unanswered_rounds >= MAX_UNANSWERED_ROUNDS
 
     async def run_health_checks(self) -> None:
-        """Ask the peers whether they are there, and whether the state service answers them, until
-        cancelled."""
+        """Check repeatedly whether the peers respond, and whether they reach the state service,
+        until cancelled."""
         while True:
             responses = self._state.responses
             checks = [self._check_health(*item) for item in self._addresses.items()]
-            answers = await asyncio.gather(*checks, _unanswered_for(HEALTH_INTERVAL_S))
+            answers = await asyncio.gather(*checks, _false_after(HEALTH_INTERVAL_S))
             is_answered = any(answers) or self._state.responses > responses
-            # A controller without peers has nobody who would serve its users instead.
-            self._silent_rounds = (
-                0 if is_answered or not self._addresses else self._silent_rounds + 1
+            # A controller without peers never counts as isolated: no other one could serve its
+            # users.
+            self._unanswered_rounds = (
+                0 if is_answered or not self._addresses else self._unanswered_rounds + 1
             )
 
     async def _check_health(self, node: str, address: str) -> bool:
-        """Whether it has answered."""
+        """Check a peer's health; returns whether it has responded."""
         try:
             response = await self._http.request(address, "GET", "/health", None, HEALTH_INTERVAL_S)
             health = wire.health_decoder.decode(response.body)
         except ConnectionRefusedByPeerError:
-            # Its process is gone for a moment, or a filter lies between the two of us: workers can
-            # reach it as before, or soon again.
+            # Either its process is restarting, or a packet filter rejects connections between the
+            # two controllers: workers can still reach the peer, or soon can again.
             self._unanswered[node] = max(self._unanswered[node] - 1, 0)
             return False
         except (NoResponseError, msgspec.DecodeError):
@@ -255,7 +264,7 @@
         self._unanswered[node] = max(self._unanswered[node] - 1, 0)
         self._write_rate.on_peer_demand(node, health.write_demand)
         if response.status == 200 and health.state_age_s < MAX_STATE_AGE_S / 2:
-            self._served_peer, self._served_peer_at = node, self._model.clock.now()
+            self._peer_with_state, self._peer_with_state_at = node, self._model.clock.now()
         return True
 
     # ---- transfers of machines ----
@@ -283,8 +292,8 @@
     async def transfer_machines(
         self, machines: list[Machine], shard: int, evacuate: bool = False
     ) -> set[str]:
-        """Have the owner of machines, all of one shard, transfer them; the names of those that it
-        has transferred."""
+        """Have the owner of the machines, which are all of one shard, transfer them to another
+        shard; returns the names of the machines that it has transferred."""
         claim = self._model.shards[machines[0].shard].claim
         if claim is None:
             return set()
@@ -303,6 +312,6 @@
             return set()
 
 
-async def _unanswered_for(seconds: float) -> bool:
+async def _false_after(seconds: float) -> bool:
     await asyncio.sleep(seconds)
     return False
--- a/badgerseam/cluster/registration.py
+++ b/badgerseam/cluster/registration.py
@@ -1,4 +1,5 @@
-"""This controller's record in the state service: that it is there, and whether it takes shards."""
+"""This controller's record in the state service: it registers the controller and tells whether it
+is available to own shards."""
 
 from __future__ import annotations
 
@@ -23,14 +24,15 @@
 log = logging.getLogger("badgerseam.cluster")
 
 MAX_WRITE_ATTEMPTS = 3
-"""Of writing on the version that is found in the record's place."""
+"""Attempts to write the record, each on the version that was read after the previous conflict."""
 WRITE_DEADLINE_S = 2.0
 MAX_REPLICA_LAG_S = 4.0
-"""Within which the replica shows a record that was written, if the changes are followed."""
+"""Seconds within which the replica shows a written record, provided that the watch is not
+stalled."""
 
 
 class Registration:
-    """Composes the record and writes it whenever what it says has changed."""
+    """Builds the record and writes it whenever its contents have changed."""
 
     def __init__(
         self,
@@ -48,32 +50,33 @@
         self._clock = model.clock
         self._node = model.settings.node
         self.unavailable_reasons: set[UnavailableReason] = set()
-        """Why this controller takes no shard; empty if it does."""
+        """Why this controller takes no shards; empty if it is available."""
         self.classes_digest = ""
-        """Of the priority classes in our options, published with the record."""
+        """Digest of the priority classes in this controller's options, published with the
+        record."""
         self.suspected: set[str] = set()
-        """Peers that the record asks for a sign of life."""
+        """Peers that the record asks to prove that they are running."""
         self.is_written = False
-        """Whether the record in the state service says what it should."""
+        """Whether the record in the state service is known to be up to date."""
         self._written_at = -1e9
         self._tasks = BackgroundTasks()
 
     # ---- availability ----
 
     def mark_unavailable(self, reason: UnavailableReason) -> None:
-        """Take no shard from now on, for one more reason."""
+        """Add a reason not to take shards."""
         self.unavailable_reasons.add(reason)
         self.is_written = False
 
     def mark_available(self, reason: UnavailableReason) -> None:
-        """Take back one reason not to take shards."""
+        """Remove a reason not to take shards."""
         self.unavailable_reasons.discard(reason)
         self.is_written = False
 
     # ---- the record ----
 
     async def write(self) -> None:
-        """Write the record; `is_written` tells whether it is known to be up to date then."""
+        """Write the record; afterwards `is_written` tells whether it is known to be up to date."""
         try:
             written = await self._write_record()
         except LeaseExpiredError:
@@ -81,19 +84,20 @@
             return
         if written is not None:
             self._written_at = self._clock.now()
-            self.is_written = written == self._compose()
+            self.is_written = written == self._build_record()
 
     def write_again(self) -> None:
-        """Write the record once more, now, in the background."""
+        """Write the record again immediately, in the background."""
         if self._lease.number is not None:
             self.is_written = False
             self._tasks.spawn(self.write())
 
     def check_overwritten(self, now: float) -> None:
-        """Have the record written again if the replica shows another one in its place.
+        """Schedule another write if the replica shows no record or that of another lease.
 
-        An earlier process of an older program may have overwritten it late, on no condition: that
-        one goes with its own lease, and peers would miss us for as long as we live.
+        A delayed, unconditional write by an earlier process of an older program version may have
+        overwritten the record. What it wrote is removed when that process's lease ends, and without
+        another write peers would not see the current process for its whole lifetime.
         """
         shown = self._model.controllers.get(self._node)
         if (
@@ -103,8 +107,8 @@
         ):
             self.is_written = False
 
-    def _compose(self) -> wire.ControllerRecord | None:
-        """What peers are to know of us now; None without a lease."""
+    def _build_record(self) -> wire.ControllerRecord | None:
+        """Returns the record with the current values; None without a lease."""
         if self._lease.number is None:
             return None
         program = self._model.program
@@ -120,18 +124,19 @@
         )
 
     async def _write_record(self) -> wire.ControllerRecord | None:
-        """Write the record, composed anew for each attempt: what is known to be written, or None.
+        """Write the record, rebuilt for each attempt, and return it; None if it is not known to be
+        written.
 
-        Each write is conditional on the version of the record before: carried out late, an older
-        record took the place of a newer one for good, and peers brought no shard home to a
-        controller that was back, or some to one that had gone away. LeaseExpiredError if the lease
-        has ended.
+        Each write is conditional on the version of the previous record. A delayed unconditional
+        write would permanently replace a newer record by an older one: peers would then return no
+        shard to a controller that is available again, or would return shards to one that has become
+        unavailable. Raises LeaseExpiredError if the lease has ended.
         """
         key = node_key(self._node)
         known = self._model.controllers.get(self._node)
         version = 0 if known is None else known.version
         for _ in range(MAX_WRITE_ATTEMPTS):
-            record = self._compose()
+            record = self._build_record()
             if record is None:
                 break
             write = wire.Write(put=key, value=wire.raw(record), lease=record.lease)
@@ -143,7 +148,8 @@
                     self._model.apply(key, write.value, revision)
                 return record
             except ConditionFailedError:
-                # One of an earlier process, or of ours that seemed lost. The replica may be late.
+                # The record was written by an earlier process, or by an earlier attempt whose
+                # response was lost. The replica may lag, so the version is read from the service.
                 try:
                     entry = await self._state.get(key)
                 except StateUnavailableError:
--- a/badgerseam/cluster/watch_health.py
+++ b/badgerseam/cluster/watch_health.py
@@ -1,14 +1,16 @@
-"""Detects a stalled watch: the lease is renewed, but the changes are not followed any more.
-
-A controller whose watch requests get no answer, but whose lease is renewed, keeps its claims. It
-renews no worker's lease once its replica is too old (`Membership.may_renew_worker_leases`), and
-nobody else acts for its shards. It has to notice by itself, and to hand its claims over.
-
-A claim is handed over as by a controller that is drained: a peer that follows the changes itself
-replaces it on its version. So a controller that nobody can replace keeps its claims, be it the last
-one or one of many that follow nothing. In an outage no lease is renewed and nobody hands over. The
-controller is the cut owner of docs/design.md, point 6, from the revision of the new claim on. It
-reads that claim by itself, since its replica will not show it.
+"""Detects a stalled watch: the controller's lease is renewed, but its replica gets no changes.
+
+A controller whose watch requests get no response, but whose lease is renewed, keeps its claims. It
+stops renewing its workers' leases once its replica is too old
+(`Membership.may_renew_worker_leases`), and no other controller acts for its shards. So it has to
+detect the stall itself and hand its claims over.
+
+The handover is the same as when a controller is drained: a peer whose own watch works replaces the
+claim, conditionally on its version. A controller that no peer can replace therefore keeps its
+claims, whether it is the last one or all watches are stalled. In an outage of the state service no
+lease is renewed, and no claim is handed over. From the revision of the new claim on, this
+controller is the cut owner of docs/design.md, point 6. It reads the new claim from the state
+service, since its replica will not show it.
 """
 
 from __future__ import annotations
@@ -28,18 +30,21 @@
 log = logging.getLogger("badgerseam.cluster")
 
 STALLED_S = 8.0
-"""Without an answer for so long, two watch requests in a row have failed."""
+"""Seconds without a response after which the watch counts as stalled: two watch requests in a row
+have failed by then."""
 MAX_STEP_S = 0.5
-"""Of the time between two checks at most so much counts: a suspended process asked nothing."""
+"""Maximum seconds counted between two checks: a process that was suspended has sent no request in
+the meantime."""
 RETRY_S = 1.0
-"""Between two rounds of handing over."""
-STEADY_S = 3.0
-"""How long the changes have to be followed before shards are taken again; doubled each time."""
-MAX_STEADY_S = 60.0
+"""Seconds between two rounds of handing over claims."""
+MIN_WATCHED_S = 3.0
+"""Seconds for which the watch must work before shards are taken again; doubled after each stall in
+which a claim was handed over."""
+MAX_MIN_WATCHED_S = 60.0
 
 
 class WatchHealth:
-    """Counts the time without an answer, and hands the claims over."""
+    """Measures the time without a watch response, and hands the claims over once it is too long."""
 
     def __init__(
         self,
@@ -54,30 +59,32 @@
         self._request_takeover = request_takeover
         self._clock = model.clock
         self._max_renewal_age_s = member.claim_ttl_s / 2
-        """A renewal older than that means that the state service does not serve us."""
+        """Age in seconds from which the last lease renewal no longer proves that the state service
+        can be reached."""
         self._checked_at = self._clock.now()
         self._followed_at = model.followed_at
         self._stalled_s = 0.0
         self._followed_since: float | None = None
-        self._steady_s = STEADY_S
+        self._min_watched_s = MIN_WATCHED_S
         self._has_handed_over = False
         """Whether a claim has been handed over since the watch stalled."""
         self._handover: asyncio.Task[None] | None = None
 
     def check(self) -> None:
-        """Called a few times a second, with the model's lock held."""
+        """Check the watch; called a few times a second, with the model's lock held."""
         now = self._clock.now()
         step_s = min(now - self._checked_at, MAX_STEP_S)
         self._checked_at = now
         is_answered = self._model.followed_at != self._followed_at
         self._followed_at = self._model.followed_at
         if is_answered or not self._member.lease_confirmed_within(self._max_renewal_age_s):
-            # Without renewals either, the lease ends, or it is an outage and nobody follows.
+            # If renewals fail as well, either the lease will end, or the state service has an
+            # outage and no controller gets changes.
             self._stalled_s = 0.0
         else:
             self._stalled_s += step_s
         if self._member.is_unavailable(UnavailableReason.WATCH_STALLED):
-            self._resume_when_steady(now)
+            self._resume_if_watch_is_stable(now)
         elif self._stalled_s > STALLED_S and self._has_claims():
             log.warning("watch stalled duration_s=%.1f", self._stalled_s)
             self._has_handed_over = False
@@ -85,32 +92,32 @@
             self._member.mark_unavailable(UnavailableReason.WATCH_STALLED)
             self._handover = asyncio.ensure_future(self._hand_over_all())
 
-    def _resume_when_steady(self, now: float) -> None:
-        """Take shards again once the changes are followed steadily."""
+    def _resume_if_watch_is_stable(self, now: float) -> None:
+        """Take shards again once the watch has worked for long enough."""
         if not self._model.is_up_to_date:
             self._followed_since = None
             return
         if self._followed_since is None:
             self._followed_since = now
-        if self._has_handed_over and now - self._followed_since < self._steady_s:
+        if self._has_handed_over and now - self._followed_since < self._min_watched_s:
             return
         if self._has_handed_over:
-            self._steady_s = min(2 * self._steady_s, MAX_STEADY_S)
+            self._min_watched_s = min(2 * self._min_watched_s, MAX_MIN_WATCHED_S)
         log.info("watch resumed")
         self._stalled_s = 0.0
         self._member.mark_available(UnavailableReason.WATCH_STALLED)
 
     def _has_claims(self) -> bool:
-        """Whether a claim is ours by what the replica shows, perhaps long ago."""
+        """Whether the replica, which may be out of date, shows a claim of this controller."""
         claims = [*(shard.claim for shard in self._model.shards), self._model.leader_claim]
         return any(claim is not None and claim.record.node == self._member.node for claim in claims)
 
     async def _read_own_claims(self) -> list[tuple[str, int]] | None:
-        """The keys and versions of the claims that are ours now, the leadership last; None if they
-        cannot be read.
+        """Read the keys and versions of this controller's current claims, the leadership last;
+        None if they cannot be read.
 
-        The replica may not show those that this process has made: started again with a watch that
-        is stuck, it shows its predecessor's under versions that it never follows.
+        The replica may lack the claims of this process: after a restart with a stalled watch it
+        shows those of the previous process, with versions that are never updated.
         """
         found = []
         keys = [claim_key(shard.index) for shard in self._model.shards]
@@ -124,7 +131,7 @@
         return found
 
     def _peers_by_preference(self) -> list[str]:
-        """All peers, those that would take a shard by what is known first."""
+        """Returns all peers, first those that are available by the replica."""
         candidates = self._member.takeover_candidates()
         names = [sibling.node for sibling in self._model.settings.siblings]
         return candidates + [name for name in names if name not in candidates]
@@ -136,7 +143,8 @@
         )
 
     async def _hand_over_all(self) -> None:
-        """Ask the peers again and again, until no claim is ours or the changes are followed."""
+        """Ask the peers repeatedly, until this controller has no claim left or its watch works
+        again."""
         while self._is_stalled():
             claims = await self._read_own_claims()
             if claims is not None and not claims:
@@ -148,14 +156,14 @@
 
     async def _hand_over(self, key: str, version: int) -> None:
         for node in self._peers_by_preference():
-            # Without an answer it may have been taken all the same.
+            # A takeover without a response may have succeeded all the same.
             is_taken = await self._request_takeover(node, key, version)
             if is_taken is not False and await self._is_owned_by_another(key):
                 log.info("claim handed over key=%s controller=%s", key, node)
                 return
 
     async def _is_owned_by_another(self, key: str) -> bool:
-        """Whether another controller has a claim now; the replica is updated with that."""
+        """Whether another controller has the claim now; if so, updates the replica accordingly."""
         try:
             entry = await self._state.get(key)
         except StateUnavailableError:
@@ -163,7 +171,8 @@
         if entry is None:
             return False
         if _owner_of(entry) == self._member.node:
-            # A claim of ours is acted on only when the replica shows all that came before it.
+            # A claim of this controller is not applied here: it may be acted on only once the
+            # replica shows everything that was written before it.
             return False
         with self._model.lock:
             self._model.apply(key, entry.value, entry.version)
@@ -173,6 +182,6 @@
 
 
 def _owner_of(entry: wire.Entry) -> str:
-    """The controller that has a claim, by its record."""
+    """Returns the controller that a claim's record names."""
     claim: wire.ClaimRecord = msgspec.json.decode(entry.value, type=wire.ClaimRecord)
     return claim.node
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from badgerseam.cluster.availability import UnavailableReason
-from badgerseam.cluster.claim_policy import STEADY_S
+from badgerseam.cluster.claim_policy import MIN_AVAILABLE_S
 from badgerseam.cluster.membership import Membership
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.model import Model
@@ -107,7 +107,7 @@
         now = self._clock.now()
         restarts = self._restarts.get(home, PeerRestarts(0))
         recent = [at for at in restarts.at if now - at < RESTART_WINDOW_S]
-        steady_s = STEADY_S * 2.0 ** max(0, len(recent) - 1)
+        steady_s = MIN_AVAILABLE_S * 2.0 ** max(0, len(recent) - 1)
         if alive_s > MAX_STEADY_S:
             # It may have no standby, and never ask.
             return True
