--- a/badgerseam/standby/__init__.py
+++ b/badgerseam/standby/__init__.py
@@ -1,1 +1,1 @@
-"""The warm standby: it detects that a controller has ended, and prepares its replacement."""
+"""Warm standby: detects that a controller has ended, and prepares a peer to take over from it."""
--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -1,20 +1,23 @@
 """Detects that a controller has ended, and revokes its lease so that its claims end at once.
 
-A request to each peer is held open there, so that the end of its process shows as the end of the
-connection; from then on it is probed every `probe_s`. Connections refused or reset some times in a
-row make a suspicion, nothing else does: a process that is suspended, is starved, or sits behind a
-link that loses packets accepts connections, or does not answer at all, and keeps its lease for as
-long as that lasts by itself.
-
-A refusal is no proof: a filter between controllers refuses too. So there are three more witnesses.
-The other peer must see the same, or workers of that owner come here, which they do when it does
-not answer them. And the suspected controller is asked through the state service: our own record
-names it, and it answers by writing its own. One that is well with the state service, and cut off
-from its peers alone, answers and stays.
+Each peer holds a request from this controller open, so that the end of its process closes the
+connection; from then on the peer is probed every `probe_s`. A suspicion is raised only by several
+connections in a row that are refused or reset. A process that is suspended, starved of CPU, or
+behind a link that loses packets accepts connections or does not respond at all; its lease is left
+to expire by itself.
+
+A refused connection is no proof that the process has ended, since a packet filter between
+controllers refuses connections as well. So a suspicion needs confirmation from another source:
+either the other peer is refused too, or workers of the suspected owner send their heartbeats here,
+which they do when it does not answer them. In addition the suspected controller gets a liveness
+request through the state service: this controller's record names it, and it responds by writing its
+own record. A controller that reaches the state service and is only cut off from its peers responds,
+and keeps its lease.
 
 A controller whose lease is revoked by mistake is the cut owner of points 5 and 6 of the safety
-argument (docs/design.md): its renewals end with the lease, so that the bound it may go on answering
-for is counted from before that, and the next owner counts the whole bound from after it.
+argument (docs/design.md). Its renewals end with the lease, so the partition bound within which it
+may still answer its workers is counted from before the revocation, while the next owner counts the
+whole bound from after it.
 """
 
 from __future__ import annotations
@@ -33,7 +36,7 @@
 )
 from badgerseam.model.model import Model
 from badgerseam.options.standby import StandbyOptions
-from badgerseam.standby.peer_state import MAX_REST_S, MIN_REST_S, PeerState, Suspicion
+from badgerseam.standby.peer_state import MAX_COOLDOWN_S, MIN_COOLDOWN_S, PeerState, Suspicion
 from badgerseam.standby.successors import lease_of, successors
 from badgerseam.store.client import LeaseExpiredError, StateClient, StateUnavailableError
 from badgerseam.wire import standby as wire
@@ -41,29 +44,34 @@
 log = logging.getLogger("badgerseam.standby")
 
 HOLD_S = 1.0
-"""How long a request is held open at the peer that it is sent to."""
+"""Seconds for which the peer holds a request open."""
 RESPONSE_GRACE_S = 1.0
-"""How much later a response may come; after that it tells of nothing but silence."""
+"""Seconds by which the response may be later than that; after them the probe has timed out, which
+raises no suspicion."""
 VIEW_DEADLINE_S = 0.3
-"""What another peer gets to say how it sees the suspected one."""
+"""Deadline, in seconds, for another peer to report its view of the suspected one."""
 CONFIRMATIONS_NEEDED = 2
-"""Refusals in a row at the other peer with which it agrees: it may have noticed later."""
-TURN_S = 0.4
-"""How long those in line leave it to the one before them, beyond the time for an answer."""
+"""Refusals in a row that the other peer must have seen to confirm a suspicion; few, since it may
+have started to see them later."""
+SUCCESSOR_STAGGER_S = 0.4
+"""Seconds, in addition to the time for a response, for which each successor waits for the one
+before it to act."""
 REVOKE_DEADLINE_S = 1.0
 MAX_STEP_S = 0.3
-"""Between two steps; after a longer pause of ours all suspicions are dropped."""
+"""Maximum seconds between two steps; after a longer pause of this process all suspicions are
+dropped."""
 MIN_REFUSAL_SPAN_FRACTION = 0.9
-"""Of the time that the refusals needed for a suspicion take by their probes."""
+"""The refusals that a suspicion needs must span at least this fraction of the time that their
+probes take."""
 MAX_BACKOFF_S = 86400.0
 
 Ask = Callable[[str, str, bytes, float], Coroutine[None, None, bytes]]
-"""Sends a peer a request: its name, the path, the body, a deadline in seconds; NoResponseError
-without a response."""
+"""Sends a request to a peer, with its name, the path, the body and a deadline in seconds; raises
+NoResponseError if there is no response."""
 
 
 class FailureDetector:
-    """Watches the peers; `step` drives it, several times in `probe_s`."""
+    """Probes the peers and revokes leases; driven by calls of `step`, several in each `probe_s`."""
 
     def __init__(
         self,
@@ -75,8 +83,9 @@
         lease_confirmed_since_pause: Callable[[], bool],
         on_update: Callable[[str, wire.SoftStateUpdate], None],
     ) -> None:
-        """`lease_confirmed_since_pause`: whether our own lease is confirmed after any pause;
-        `on_update`: takes the soft state that a peer has sent, with the peer's name."""
+        """`lease_confirmed_since_pause`: whether this controller's lease was confirmed after its
+        latest pause; `on_update`: receives each soft state update with the name of the peer that
+        sent it."""
         self._model = model
         self._member = member
         self._state = state
@@ -87,19 +96,19 @@
         self._clock = model.clock
         self.peers = {name: PeerState() for name in member.order if name != member.node}
         self._stepped_at = self._clock.now()
-        self._answered: dict[str, int] = {}
-        """Of each peer the version of its record that we have answered."""
+        self._answered_versions: dict[str, int] = {}
+        """For each peer, the version of its record whose liveness request was answered."""
         self._tasks = BackgroundTasks()
 
     def step(self) -> None:
-        """Probe the peers that are due, and go on with what is suspected."""
+        """Probe the peers that are due, and advance the suspicions."""
         now = self._clock.now()
         has_paused = now - self._stepped_at > MAX_STEP_S
         self._stepped_at = now
-        self._give_signs_of_life()
+        self._answer_liveness_requests()
         for name, peer in self.peers.items():
             if has_paused:
-                # Answers may lie unread, and what was seen before the pause is old.
+                # Responses may be waiting unread, and what was seen before the pause is outdated.
                 self._clear_suspicion(name, peer)
             if not peer.is_probing and now >= peer.next_probe_at:
                 peer.is_probing = True
@@ -107,20 +116,20 @@
             self._review_suspicion(name, peer, now)
 
     def on_redirected_worker(self, owner: str, machine: str) -> None:
-        """A worker of an owner has sent its heartbeat to us."""
+        """Record that a worker of another owner has sent its heartbeat to this controller."""
         peer = self.peers.get(owner)
         if peer is not None and peer.refusals:
             peer.redirected_workers.add(machine)
 
-    def view_of(self, name: str) -> wire.PeerView:
-        """How we see a peer, for the other one."""
+    def view_of_peer(self, name: str) -> wire.PeerView:
+        """Returns this controller's view of a peer, for another peer that suspects it."""
         peer = self.peers.get(name)
         return wire.PeerView(0 if peer is None else peer.refusals)
 
     # ---- probing ----
 
     async def _probe(self, name: str, peer: PeerState) -> None:
-        body = wire.encode(wire.FollowRequest(self._member.node, peer.process, peer.number))
+        body = wire.encode(wire.FollowRequest(self._member.node, peer.process, peer.update_number))
         try:
             update = wire.update_decoder.decode(
                 await self._ask(name, "/standby/follow", body, HOLD_S + RESPONSE_GRACE_S)
@@ -128,7 +137,8 @@
         except (ConnectionRefusedByPeerError, ConnectionResetByPeerError):
             self._on_refusal(name, peer)
         except (NoResponseError, msgspec.DecodeError):
-            # Silent, or another program: neither is a sign of an end.
+            # The peer did not respond in time, or it runs another program version: neither
+            # indicates that its process has ended.
             self._clear_suspicion(name, peer)
             peer.next_probe_at = self._clock.now() + HOLD_S
         else:
@@ -145,50 +155,51 @@
             peer.first_refused_at = now
             peer.redirected_workers.clear()
         peer.refusals += 1
-        # Of one without claims there is nothing to be found out soon.
+        # A peer without claims is probed less often, since nothing has to be taken over from it.
         has_claims = lease_of(self._model, name) is not None
         peer.next_probe_at = now + (self._options.probe_s if has_claims else HOLD_S / 2)
 
     def _on_response(self, name: str, peer: PeerState, update: wire.SoftStateUpdate) -> None:
         self._clear_suspicion(name, peer)
         self._recognize_process(name, peer, update.process)
-        peer.number = update.number
+        peer.update_number = update.number
         peer.next_probe_at = self._clock.now() + (0.0 if update.holds_claims else HOLD_S)
         self._on_update(name, update)
 
     def _recognize_process(self, name: str, peer: PeerState, process: str) -> None:
-        """Note which process responds: the one of before, or one that was started anew."""
+        """Record which process responded: the same as before, or a new one."""
         if peer.revoked_process is not None:
             if peer.revoked_process == process:
                 self._back_off(name, peer)
             peer.revoked_process = None
         if process != peer.process:
-            peer.next_rest_s = MIN_REST_S
+            peer.next_cooldown_s = MIN_COOLDOWN_S
         peer.process = process
 
     def _back_off(self, name: str, peer: PeerState) -> None:
-        """Leave alone for a while a peer whose lease was revoked although it had not ended."""
+        """Stop suspecting a peer for a while, because its lease was revoked although its process
+        had not ended."""
         backoff_s = max(self._options.backoff_s, 2 * peer.backoff_s)
         peer.backoff_s = min(backoff_s, MAX_BACKOFF_S)
         peer.retry_after = self._clock.now() + peer.backoff_s
         log.info("lease revocation was needless controller=%s backoff_s=%.0f", name, peer.backoff_s)
 
-    # ---- being suspected ----
+    # ---- being suspected by peers ----
 
-    def _give_signs_of_life(self) -> None:
-        """Answer peers whose records name us, by writing our own once more."""
+    def _answer_liveness_requests(self) -> None:
+        """Respond to peers whose records name this controller, by writing its own record again."""
         for name, seen in self._model.controllers.items():
             is_asked = self._member.node in seen.record.suspected
-            if is_asked and self._answered.get(name) != seen.version:
-                self._answered[name] = seen.version
-                log.info("sign of life requested controller=%s", name)
+            if is_asked and self._answered_versions.get(name) != seen.version:
+                self._answered_versions[name] = seen.version
+                log.info("liveness request received controller=%s", name)
                 self._member.registration.write_again()
 
-    # ---- suspecting ----
+    # ---- suspecting peers ----
 
     def _review_suspicion(self, name: str, peer: PeerState, now: float) -> None:
-        """Take the next step from a suspicion to the end of the peer's lease."""
-        if not self._is_suspected(peer, now) or now < max(peer.retry_after, peer.rests_until):
+        """Take the next step from a suspicion towards the revocation of the peer's lease."""
+        if not self._is_suspected(peer, now) or now < max(peer.retry_after, peer.cooldown_until):
             return
         lease = lease_of(self._model, name)
         if lease is None or not self._lease_confirmed_since_pause():
@@ -196,15 +207,18 @@
         if peer.suspicion is None:
             peer.suspicion = Suspicion(lease, now, self._record_version(name))
         suspicion = peer.suspicion
-        if self._has_shown_life(name, suspicion, lease):
+        if self._has_proved_running(name, suspicion, lease):
             self._drop_suspicion(name, peer, now)
             return
-        if suspicion.is_revoking or not self._is_our_turn(name, suspicion, now):
+        if suspicion.is_revoking or not self._is_own_turn(name, suspicion, now):
             return
         if not self._is_confirmed(name, peer, suspicion, now):
             return
-        self._request_sign_of_life(name, suspicion, now)
-        if suspicion.shown_at is not None and now - suspicion.shown_at >= self._options.answer_s:
+        self._request_liveness(name, suspicion, now)
+        if (
+            suspicion.request_shown_at is not None
+            and now - suspicion.request_shown_at >= self._options.answer_s
+        ):
             suspicion.is_revoking = True
             self._tasks.spawn(self._revoke_lease(name, peer, suspicion))
 
@@ -212,7 +226,8 @@
         options = self._options
         span_s = (options.refusals - 1) * options.probe_s
         if not peer.process:
-            # It has never answered: it may have no standby, and would not answer by its record.
+            # The peer has never responded: its standby may be disabled, in which case it would not
+            # respond to a liveness request either.
             return False
         return (
             peer.refusals >= options.refusals
@@ -223,34 +238,36 @@
         seen = self._model.controllers.get(name)
         return 0 if seen is None else seen.version
 
-    def _has_shown_life(self, name: str, suspicion: Suspicion, lease: int) -> bool:
-        """Whether the peer has claims on another lease, or has written its record again."""
+    def _has_proved_running(self, name: str, suspicion: Suspicion, lease: int) -> bool:
+        """Whether the peer has proved that it is running: it has claims on another lease, or has
+        written its record again."""
         if suspicion.lease != lease:
             return True
         version = self._record_version(name)
         return version != 0 and version != suspicion.record_version
 
     def _drop_suspicion(self, name: str, peer: PeerState, now: float) -> None:
-        log.info("suspicion dropped after a sign of life controller=%s", name)
+        log.info("suspicion dropped after a liveness response controller=%s", name)
         self._clear_suspicion(name, peer)
-        peer.rests_until = now + peer.next_rest_s
-        peer.next_rest_s = min(2 * peer.next_rest_s, MAX_REST_S)
+        peer.cooldown_until = now + peer.next_cooldown_s
+        peer.next_cooldown_s = min(2 * peer.next_cooldown_s, MAX_COOLDOWN_S)
 
     def _clear_suspicion(self, name: str, peer: PeerState) -> None:
         peer.refusals = 0
         peer.suspicion = None
         self._member.registration.suspected.discard(name)
 
-    def _is_our_turn(self, name: str, suspicion: Suspicion, now: float) -> bool:
-        """Whether those before us in line have had their time to act."""
-        in_line = successors(self._model, self._member.order, name)
-        if self._member.node not in in_line:
+    def _is_own_turn(self, name: str, suspicion: Suspicion, now: float) -> bool:
+        """Whether the successors ranked before this controller have had their time to act."""
+        ranked = successors(self._model, self._member.order, name)
+        if self._member.node not in ranked:
             return False
-        turn_s = self._options.answer_s + TURN_S
-        return now - suspicion.opened_at >= turn_s * in_line.index(self._member.node)
+        turn_s = self._options.answer_s + SUCCESSOR_STAGGER_S
+        return now - suspicion.suspected_at >= turn_s * ranked.index(self._member.node)
 
     def _is_confirmed(self, name: str, peer: PeerState, suspicion: Suspicion, now: float) -> bool:
-        """Whether workers or another peer confirm the suspicion; asks the others if not."""
+        """Whether workers or another peer have confirmed the suspicion; if not, asks the other
+        peers."""
         if len(peer.redirected_workers) >= self._options.witnesses:
             suspicion.is_confirmed = True
         if suspicion.is_confirmed:
@@ -263,7 +280,7 @@
     async def _ask_others(self, name: str, peer: PeerState, suspicion: Suspicion) -> None:
         try:
             for other in self.peers:
-                if other != name and await self._sees_refusals(other, name):
+                if other != name and await self._peer_confirms(other, name):
                     suspicion.is_confirmed = True
                     return
         finally:
@@ -272,8 +289,9 @@
                 with self._model.lock:
                     self._review_suspicion(name, peer, self._clock.now())
 
-    async def _sees_refusals(self, other: str, name: str) -> bool:
-        """Whether the suspected peer refuses another one as well; False without a response."""
+    async def _peer_confirms(self, other: str, name: str) -> bool:
+        """Whether another peer is refused by the suspected one as well; False without a
+        response."""
         body = wire.encode(wire.PeerViewRequest(name))
         try:
             response = await self._ask(other, "/standby/view", body, VIEW_DEADLINE_S)
@@ -282,8 +300,9 @@
             return False
         return view.refused >= CONFIRMATIONS_NEEDED
 
-    def _request_sign_of_life(self, name: str, suspicion: Suspicion, now: float) -> None:
-        """Ask the peer through the state service: our own record names it."""
+    def _request_liveness(self, name: str, suspicion: Suspicion, now: float) -> None:
+        """Ask the peer through the state service whether it is running, by naming it in this
+        controller's record."""
         own = self._model.controllers.get(self._member.node)
         if own is None:
             return
@@ -291,11 +310,11 @@
             suspicion.request_version = own.version
             self._member.registration.suspected.add(name)
             self._member.registration.write_again()
-        elif suspicion.shown_at is None and own.version > suspicion.request_version:
+        elif suspicion.request_shown_at is None and own.version > suspicion.request_version:
             if name in own.record.suspected:
-                suspicion.shown_at = now
+                suspicion.request_shown_at = now
             else:
-                # Written for another reason, before it was to name the peer.
+                # The record was written for another reason, before it was to name the peer.
                 suspicion.request_version = own.version
                 self._member.registration.write_again()
 
--- a/badgerseam/standby/peer_state.py
+++ b/badgerseam/standby/peer_state.py
@@ -1,38 +1,40 @@
-"""What the failure detector knows of one peer."""
+"""The failure detector's state for one peer."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MIN_REST_S, MAX_REST_S = 5.0, 60.0
-"""After a sign of life of a peer that refuses us, in seconds: a filter may stay for long, and each
-request for a sign of life costs two changes in the state service. Doubled each time."""
+MIN_COOLDOWN_S, MAX_COOLDOWN_S = 5.0, 60.0
+"""Minimum and maximum seconds for which a peer that refuses connections, but has proved that it is
+running, is not suspected again: a packet filter may stay in place for long, and each liveness
+request costs two changes in the state service. The cooldown doubles each time."""
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """A peer under suspicion of having ended."""
+    """The suspicion that a peer has ended."""
 
     lease: int
-    """Of the peer when it came under suspicion."""
-    opened_at: float
+    """The peer's lease when it was first suspected."""
+    suspected_at: float
     record_version: int
-    """Of the peer's own record when it came under suspicion; 0: none."""
+    """The version of the peer's controller record when it was first suspected; 0: it had none."""
     is_confirmed: bool = False
-    """Whether another peer or the owner's workers have confirmed it."""
+    """Whether another peer or the suspected peer's workers have confirmed the suspicion."""
     is_asking: bool = False
     asked_at: float = -1e9
     request_version: int = 0
-    """The version of our own record before it named the peer; 0: it is not to name it yet."""
-    shown_at: float | None = None
-    """When our replica showed our record with the peer's name, which the peer can have read as well
-    by then."""
+    """The version of this controller's record before it named the peer; 0: it need not name the
+    peer yet."""
+    request_shown_at: float | None = None
+    """When this controller's replica showed its own record with the peer's name; from then on the
+    peer can have read it as well."""
     is_revoking: bool = False
 
 
 @dataclass(slots=True)
 class PeerState:
-    """What probing a peer has shown. Times are in seconds of the steady clock."""
+    """The results of probing a peer. Times are in seconds of the monotonic clock."""
 
     next_probe_at: float = 0.0
     is_probing: bool = False
@@ -40,18 +42,18 @@
     """Connections refused or reset in a row."""
     first_refused_at: float = 0.0
     process: str = ""
-    """The name of the process that answered last; empty before the first answer."""
-    number: int = 0
-    """Of the latest update that has come."""
+    """The name of the process that responded last; empty before the first response."""
+    update_number: int = 0
+    """The number of the latest update received."""
     suspicion: Suspicion | None = None
     redirected_workers: set[str] = field(default_factory=set)
-    """The peer's workers that came to us since the first refusal."""
-    next_rest_s: float = MIN_REST_S
-    """How long the peer is left alone after its next sign of life."""
-    rests_until: float = -1e9
+    """The peer's workers that have sent heartbeats to this controller since the first refusal."""
+    next_cooldown_s: float = MIN_COOLDOWN_S
+    """Seconds for which the peer is not suspected after its next proof that it is running."""
+    cooldown_until: float = -1e9
     revoked_process: str | None = None
-    """The process whose lease was revoked, until the peer answers again."""
+    """The process whose lease was revoked, until the peer responds again."""
     revocations: int = 0
     backoff_s: float = 0.0
-    """How long the peer is left alone after a lease that was revoked needlessly."""
+    """Seconds for which the peer is not suspected after its lease was revoked needlessly."""
     retry_after: float = -1e9
--- a/badgerseam/standby/soft_state.py
+++ b/badgerseam/standby/soft_state.py
@@ -1,9 +1,10 @@
-"""What an owner knows and the state service does not store, sent to the peers that follow it.
+"""Sends an owner's soft state, which the state service does not store, to the peers that subscribe.
 
-Each response to a request that is held open carries what has changed since the one before, as much
-as fits: a few machines are scanned for each, in turn, so that nothing is queued, and a subscriber
-that is slow, or has lost a response, is sent everything anew. A hint is never authority: what may
-be done rests on records alone, and docs/standby.md says field by field what a wrong one can do.
+Each response to a request that was held open carries the changes since the previous response, as
+many as fit. A few machines are scanned for each response, in turn, so that nothing is queued; a
+subscriber that is slow, or has lost a response, is sent everything again. Hints are never
+authoritative: permission to act depends on stored records alone, and docs/standby.md lists for each
+field what a wrong hint can cause.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 from badgerseam.wire import standby as wire
 
 MAX_MACHINES_SCANNED = 256
-"""Machines scanned for one response."""
-MAX_SUBSCRIBER_SILENCE_S = 5.0
-"""A subscriber that has not asked for so long does not follow us."""
+"""Maximum number of machines scanned for one response."""
+MAX_REQUEST_INTERVAL_S = 5.0
+"""Seconds without a request after which a peer no longer counts as subscribed."""
 MAX_EVICTIONS = 8
-"""Latest evictions of a machine that are sent."""
+"""Maximum number of a machine's evictions that are sent, the latest ones."""
 MAX_IMAGES = 16
-"""Images of a machine that are sent."""
+"""Maximum number of a machine's images that are sent."""
 
 BlockedOffers = dict[Offer, tuple[float, float]]
-"""Offers without capacity: until when each is left alone, and the pause, in seconds."""
+"""Offers without capacity: until when each is not requested again, and the pause, in seconds."""
 
 
 class _MachineVersion(NamedTuple):
-    """What has to change for a machine to be sent anew."""
+    """The values of a machine that cause it to be sent again when one of them changes."""
 
     term: int
     address: str
@@ -55,7 +56,8 @@
 
 
 class _ShardCounts(NamedTuple):
-    """What has to change for a shard without changed machines to be sent anew."""
+    """The values of a shard that cause it to be sent again, even without changed machines, when one
+    of them changes."""
 
     term: int
     finished: int
@@ -64,26 +66,27 @@
 
 @dataclass(slots=True)
 class _Subscriber:
-    """What one peer has been sent."""
+    """The state of one subscribed peer: what it has been sent."""
 
-    number: int = 0
-    """Of the latest update."""
-    asked_at: float = -1e9
+    update_number: int = 0
+    """The number of the latest update sent."""
+    requested_at: float = -1e9
     scans: int = 0
-    """How often a scan of all machines was begun for it."""
+    """How many scans of all machines have been started for the peer."""
     sent_machines: dict[str, _MachineVersion] = field(default_factory=dict)
     to_scan: list[int] = field(default_factory=list)
-    """Machines still to be scanned in this scan."""
+    """The machines that the current scan has yet to cover."""
     sent_counts: dict[int, _ShardCounts] = field(default_factory=dict)
 
 
 class SoftStateSender:
-    """The owner's side: what has changed for each subscriber."""
+    """The owner's side: builds the updates for each subscriber."""
 
     def __init__(
         self, model: Model, options: StandbyOptions, process: str, blocked: BlockedOffers
     ) -> None:
-        """`process`: the name of this process; `blocked`: the leader's, read for each update."""
+        """`process`: the name of this process; `blocked`: the leader's offers without capacity,
+        read for each update."""
         self._model = model
         self._max_bytes = round(options.hints_kb * 1024)
         self._process = process
@@ -93,32 +96,33 @@
     def build_update(
         self, follow: wire.FollowRequest, holds_claims: bool, leader_term: int
     ) -> wire.SoftStateUpdate:
-        """What has changed for a subscriber; called with the model's lock held.
+        """Build the update with the changes for a subscriber; called with the model's lock held.
 
-        `holds_claims`: as the update says; `leader_term`: the version of our claim on the
-        leadership, or 0.
+        `holds_claims`: copied into the update; `leader_term`: the version of this controller's
+        claim on the leadership, or 0.
         """
         subscriber = self._subscribers.get(follow.node)
         has_latest = subscriber is not None and (
-            (follow.process, follow.number) == (self._process, subscriber.number)
+            (follow.process, follow.number) == (self._process, subscriber.update_number)
         )
         if subscriber is None or not has_latest:
-            # It has not got the latest update, or has it of another process.
+            # The peer has not received the latest update, or its latest update came from another
+            # process.
             subscriber = self._subscribers[follow.node] = _Subscriber(follow.number)
-        subscriber.number += 1
-        subscriber.asked_at = self._model.clock.now()
+        subscriber.update_number += 1
+        subscriber.requested_at = self._model.clock.now()
         shards = self._changed_shards(subscriber) if self._max_bytes else []
         blocked = self._blocked_hints() if leader_term else []
         return wire.SoftStateUpdate(
-            self._process, subscriber.number, holds_claims, shards, leader_term, blocked
+            self._process, subscriber.update_number, holds_claims, shards, leader_term, blocked
         )
 
     def is_caught_up(self, node: str) -> bool:
-        """Whether a peer has been sent all there is, and still asks."""
+        """Whether a peer has been sent everything, and is still subscribed."""
         subscriber = self._subscribers.get(node)
         if subscriber is None:
             return False
-        if self._model.clock.now() - subscriber.asked_at > MAX_SUBSCRIBER_SILENCE_S:
+        if self._model.clock.now() - subscriber.requested_at > MAX_REQUEST_INTERVAL_S:
             return False
         return subscriber.scans > 1 or not self._max_bytes or not subscriber.to_scan
 
@@ -153,11 +157,11 @@
             for index in model.shard_machines[shard.index]
         ]
         if len(subscriber.sent_machines) > 2 * len(subscriber.to_scan):
-            # Mostly of machines that are gone.
+            # Most entries are of machines that no longer exist.
             subscriber.sent_machines.clear()
 
     def _changed_machines(self, subscriber: _Subscriber) -> dict[int, list[wire.MachineHint]]:
-        """The next machines of the scan that have changed, as many as fit, by shard."""
+        """Returns hints for the next changed machines of the scan, as many as fit, by shard."""
         model = self._model
         changed: dict[int, list[wire.MachineHint]] = {}
         bytes_left = self._max_bytes
@@ -190,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedMachine:
-    """A hint on a machine, and when it came."""
+    """A hint on a machine, and when it was received."""
 
     received_at: float
     hint: wire.MachineHint
@@ -198,19 +202,19 @@
 
 @dataclass(slots=True)
 class _ReceivedShard:
-    """Hints on a shard, under one term."""
+    """The hints on a shard that were received for one term."""
 
     term: int
     finished: int = 0
     evicted: int = 0
     updated_at: float = -1e9
-    """When its owner responded last."""
+    """When the shard's owner last responded."""
     machines: dict[str, _ReceivedMachine] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedOffers:
-    """The leader's offers without capacity, under its term."""
+    """The offers without capacity that the leader of a term has sent."""
 
     term: int = 0
     received_at: float = -1e9
@@ -218,12 +222,14 @@
 
 
 class SoftStateReceiver:
-    """The successor's side: what owners have sent, used when their claims are taken over."""
+    """The successor's side: stores what owners have sent, and uses it when their claims are taken
+    over."""
 
     def __init__(
         self, model: Model, options: StandbyOptions, window_s: float, blocked: BlockedOffers
     ) -> None:
-        """`window_s`: for how long an eviction counts; `blocked`: our own, filled at a takeover."""
+        """`window_s`: for how many seconds an eviction counts; `blocked`: this controller's offers
+        without capacity, filled in at a takeover."""
         self._model = model
         self._max_age_s = options.hint_age_s
         self._window_s = window_s
@@ -231,17 +237,18 @@
         self._shards: dict[int, _ReceivedShard] = {}
         self._offers = _ReceivedOffers()
         self._replaced_versions: dict[str, int] = {}
-        """Of each claim, by key, the version under which another controller had it last."""
+        """The latest version of each claim, by key, that named another controller."""
 
     def on_update(self, node: str, update: wire.SoftStateUpdate) -> None:
-        """Store what a peer has sent."""
+        """Store an update that a peer has sent."""
         now = self._model.clock.now()
         for hint in update.shards:
             if 0 <= hint.shard < len(self._model.shards):
                 self._store_shard(hint, now)
         for index, received in self._shards.items():
             claim = self._model.shards[index].claim
-            # Nothing new is news as well: the owner is there, and nothing has changed.
+            # An update without changes also confirms the hints: the owner is running, and nothing
+            # has changed.
             if claim and claim.record.node == node and claim.version == received.term:
                 received.updated_at = now
         if update.leader_term >= self._offers.term and update.leader_term:
@@ -250,7 +257,7 @@
     def _store_shard(self, hint: wire.ShardHint, now: float) -> None:
         received = self._shards.get(hint.shard)
         if received is not None and received.term > hint.term:
-            # Delayed on its way, from an owner before.
+            # A delayed hint from a previous owner.
             return
         if received is None or received.term < hint.term:
             received = self._shards[hint.shard] = _ReceivedShard(hint.term)
@@ -260,7 +267,7 @@
         )
 
     def observe_claims(self) -> None:
-        """Note under which versions others have the claims; called a few times a second."""
+        """Record the versions of the claims of other controllers; called a few times a second."""
         model = self._model
         for shard in model.shards:
             if shard.claim is not None and not shard.owned:
@@ -273,10 +280,10 @@
             self._replaced_versions[key] = claim.version
 
     def apply_to(self, shard: Shard | None) -> int:
-        """Use the hints for what is about to be acted for: a shard, or (None) the leadership.
+        """Apply the hints for a takeover of a shard or, with None, of the leadership.
 
-        Returns how many were used: those of the very claim that ours replaces, and no older than
-        the bound.
+        Only hints from the claim that this controller's claim replaces are used, and only up to the
+        maximum age. Returns how many were used.
         """
         now = self._model.clock.now()
         return self._apply_offers(now) if shard is None else self._apply_shard(shard, now)
@@ -287,10 +294,10 @@
         if offers.term != self._replaced_versions.get(LEADER_KEY) or age_s > self._max_age_s:
             return 0
         for hint in offers.hints:
-            left_s = hint.for_s - age_s
-            if left_s > 0:
+            remaining_s = hint.for_s - age_s
+            if remaining_s > 0:
                 offer = Offer(hint.type, hint.zone, hint.spot)
-                self._blocked.setdefault(offer, (now + left_s, hint.pause_s))
+                self._blocked.setdefault(offer, (now + remaining_s, hint.pause_s))
         return len(offers.hints)
 
     def _apply_shard(self, shard: Shard, now: float) -> int:
@@ -308,7 +315,7 @@
         hint = received.hint
         machine = self._model.machine(hint.name)
         if machine is None or machine.shard != shard.index:
-            # Gone, or moved since.
+            # The machine no longer exists, or has moved to another shard.
             return False
         machine.address = machine.address or hint.address
         machine.images.update(hint.images)
--- a/badgerseam/standby/successors.py
+++ b/badgerseam/standby/successors.py
@@ -1,4 +1,5 @@
-"""Who takes over from a controller, and on which lease that controller's claims stand."""
+"""Determines which controllers take over from a controller, and to which lease its claims are
+attached."""
 
 from __future__ import annotations
 
@@ -6,20 +7,23 @@
 from badgerseam.model.model import Model
 
 
-def successors(model: Model, order: list[str], node: str) -> list[str]:
-    """The controllers that take over all that a controller owns, the first in line first.
+def successors(model: Model, controller_names: list[str], node: str) -> list[str]:
+    """Returns the controllers that may take over everything that a controller owns, the first
+    candidate first.
 
-    It depends on the controllers' own records, the claims and the order of names alone, so that all
-    agree without a message: the least busy of those that take shards, which are also the first
-    whose turn it is to claim once the controller's claims end.
+    The ranking depends only on the controllers' records, the claims and the order of the names,
+    so that all controllers agree on it without exchanging messages. The available
+    controllers that own the fewest shards come first; they are also the first to claim once the
+    controller's claims end.
     """
-    return candidates_besides(model, order, node)
+    return candidates_besides(model, controller_names, node)
 
 
 def lease_of(model: Model, node: str) -> int | None:
-    """The lease of a controller that owns a shard or leads; None if it does neither.
+    """Returns the lease of a controller that owns a shard or leads; None if it does neither.
 
-    The lease's number is in the claim: it is that of the very process that took it.
+    The lease number is taken from the claims, so that it is the lease of the process that took
+    them.
     """
     claims = [shard.claim for shard in model.shards] + [model.leader_claim]
     leases = {
--- a/badgerseam/standby/takeover_gate.py
+++ b/badgerseam/standby/takeover_gate.py
@@ -1,12 +1,12 @@
-"""What is checked before a new owner of a shard, or a new leader, decides anything.
-
-The rules are those of the safety argument (docs/design.md), and each stands where it is applied
-otherwise as well. Here is the one list of them, by name, so that none is left out, each with what
-becomes of a controller that does not pass it: it waits, or it has the claim made anew, or it hands
-the claim over. Whoever does not pass in a bounded time hands over as well, since a shard that is
-claimed and not acted for is worse than one that is free. After a pause in which the clocks ran on
-(the process was suspended) nothing passes until the state service has confirmed the lease by a
-renewal that was sent after it.
+"""The checks that a new owner of a shard, or a new leader, must pass before it decides anything.
+
+The checks are the rules of the safety argument (docs/design.md). Each rule is also enforced where
+it applies; this module lists all of them by name, so that none is omitted, with the outcome of a
+failed check: the controller waits, replaces its claim, or hands the claim over. A controller that
+does not pass within a bounded time hands the claim over as well, since a shard that is claimed but
+has no active owner is worse than an unclaimed one. After a pause during which the clocks ran on
+(the process was suspended) no claim passes until the state service has confirmed the lease by a
+renewal that was sent after the pause.
 """
 
 from __future__ import annotations
@@ -26,13 +26,14 @@
 log = logging.getLogger("badgerseam.standby")
 
 MAX_PAUSE_FRACTION = 0.25
-"""A step of the clock longer than this part of the controller's lease counts as a pause."""
+"""A time between two observations of the clock counts as a pause of the process if it is longer
+than this fraction of the controller's lease."""
 HANDED_OVER_BLOCK_S = 5.0
-"""How long a claim that was handed over is left to the others."""
+"""Seconds for which this controller does not take a claim again after handing it over."""
 
 
 class Outcome(Enum):
-    """What follows if a check is not passed."""
+    """What the controller does if a check fails."""
 
     WAIT = "waits"
     RECLAIM = "claim made anew"
@@ -41,23 +42,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """A condition for acting under a claim, by name."""
+    """A named condition for acting under a claim."""
 
     name: str
     is_passed: Callable[[Shard | None, ObservedClaim], bool]
-    """By the shard, or None for the leadership, and the claim as the replica shows it."""
+    """Evaluates the condition for a shard, or None for the leadership, and the claim in the
+    replica."""
     on_failure: Outcome
     applies_to_leader: bool = True
 
 
 @dataclass(slots=True)
 class CheckRun:
-    """How far one claim has come in the checks."""
+    """The state of the checks of one claim."""
 
     version: int
-    """Of the claim."""
+    """The version of the claim."""
     since: float
-    """When the claim was first checked, or failed again after it had passed."""
+    """When the claim was first checked, or when it failed again after having passed."""
     failed_check: str | None = None
     has_passed: bool = False
     is_takeover_reported: bool = False
@@ -65,14 +67,14 @@
 
 @dataclass(slots=True)
 class CheckStats:
-    """How often a check has stopped a claim, and for how long altogether."""
+    """How often a check has failed for a claim, and for how many seconds in total."""
 
     stops: int = 0
     seconds: float = 0.0
 
 
 class TakeoverGate:
-    """The checks in their order; asked anew before each decision. Callers hold the model's lock."""
+    """Runs the checks in their order, again before each decision. Callers hold the model's lock."""
 
     def __init__(
         self,
@@ -82,8 +84,9 @@
         ttl_s: float,
         on_takeover: Callable[[Shard | None, ObservedClaim], None],
     ) -> None:
-        """`ttl_s`: the lease of a controller, in seconds; `on_takeover`: called once for each claim
-        that passes, with its shard, or None for the leadership, before it is acted on."""
+        """`ttl_s`: the time to live of a controller's lease, in seconds; `on_takeover`: called once
+        for each claim that passes, with its shard, or None for the leadership, before the claim is
+        acted on."""
         self._on_takeover = on_takeover
         self._model = model
         self._member = member
@@ -93,14 +96,19 @@
         self._observed_at = self._clock.now()
         self._paused_at = -1e9
         self._runs: dict[str, CheckRun] = {}
-        """By the key of the claim."""
+        """The state of the checks, by the key of the claim."""
         self._blocked_until: dict[str, float] = {}
-        """Until when claims that were handed over are left to others, by key."""
+        """Until when claims that were handed over are not taken again, by key."""
         self.stats: dict[str, CheckStats] = {}
         self.checks: tuple[Check, ...] = (
             Check("replica complete", self._is_replica_complete, Outcome.WAIT),
             Check("level supported", self._is_level_supported, Outcome.HAND_OVER),
-            Check("workers heard", self._hears_workers, Outcome.HAND_OVER, applies_to_leader=False),
+            Check(
+                "workers heard",
+                self._receives_heartbeats,
+                Outcome.HAND_OVER,
+                applies_to_leader=False,
+            ),
             Check("lease confirmed", self._is_lease_confirmed, Outcome.WAIT),
             Check(
                 "previous owners bounded",
@@ -113,14 +121,14 @@
     # ---- the checks ----
 
     def _is_replica_complete(self, _shard: Shard | None, _claim: ObservedClaim) -> bool:
-        # While all keys are read anew, claims come before pages: a task placed before our claim
-        # was unknown then, placed once more, and ran twice.
+        # During a full reload claims are loaded before task pages. A task that was placed before
+        # this controller's claim would not be known yet, would be placed again and run twice.
         return self._model.loaded and not self._model.loading
 
     def _is_level_supported(self, _shard: Shard | None, _claim: ObservedClaim) -> bool:
         return self._model.is_supported
 
-    def _hears_workers(self, _shard: Shard | None, _claim: ObservedClaim) -> bool:
+    def _receives_heartbeats(self, _shard: Shard | None, _claim: ObservedClaim) -> bool:
         return not self._member.receives_no_heartbeats
 
     def _is_lease_confirmed(self, _shard: Shard | None, _claim: ObservedClaim) -> bool:
@@ -130,7 +138,8 @@
         return shard is None or previous_owner_bound_s(self._model, shard, claim) is not None
 
     def lease_confirmed_since_pause(self) -> bool:
-        """Whether our lease was confirmed, and none of our time has passed unnoticed since."""
+        """Whether the lease is current and was confirmed by a renewal sent after the latest pause
+        of this process."""
         self._detect_pause()
         return self._member.lease_is_current and self._member.confirmed_at >= self._paused_at
 
@@ -142,15 +151,15 @@
             self._paused_at = now
         self._observed_at = now
 
-    # ---- what the membership asks ----
+    # ---- takeover checks ----
 
     def may_act_on_shard(self, shard: Shard, claim: ObservedClaim) -> bool:
-        """Whether a shard may be acted for under the claim that the replica shows."""
+        """Whether this controller may act as the shard's owner under the claim in the replica."""
         key = claim_key(shard.index)
         run = self._run_for(key, claim)
         failed = self._run_checks(key, run, shard, claim)
         if failed is None:
-            # Given up and taken again, it is checked again.
+            # If the claim is given up and taken again, it is checked again.
             del self._runs[key]
             return True
         if failed.on_failure is Outcome.RECLAIM:
@@ -161,12 +170,13 @@
         return False
 
     def may_act_as_leader(self, claim: ObservedClaim) -> bool:
-        """Whether the claim on the leadership may be acted on; cheap, asked again and again."""
+        """Whether this controller may act as the leader under the claim on the leadership; cheap,
+        since it is called often."""
         run = self._run_for(LEADER_KEY, claim)
         return self._run_checks(LEADER_KEY, run, None, claim) is None
 
     def may_claim(self, key: str) -> bool:
-        """Whether a claim may be taken: not what was just handed over."""
+        """Whether a claim may be taken, that is, was not handed over just before."""
         return self._clock.now() >= self._blocked_until.get(key, -1e9)
 
     def review(self) -> None:
@@ -182,10 +192,11 @@
             self._block(LEADER_KEY, failed)
             self._member.resign_leadership()
 
-    # ---- one claim's way through the checks ----
+    # ---- checking a claim ----
 
     def _run_for(self, key: str, claim: ObservedClaim) -> CheckRun:
-        """The run of a claim, begun anew for each version of it."""
+        """Returns the state of a claim's checks, which starts anew for each version of the
+        claim."""
         run = self._runs.get(key)
         if run is None or run.version != claim.version:
             run = self._runs[key] = CheckRun(claim.version, self._clock.now())
@@ -194,11 +205,11 @@
     def _run_checks(
         self, key: str, run: CheckRun, shard: Shard | None, claim: ObservedClaim
     ) -> Check | None:
-        """The first check that is not passed, or None, noted in the run."""
+        """Run the checks; returns the first one that fails, or None, and records it in the run."""
         now = self._clock.now()
         failed = self._first_failed(shard, claim)
         if failed is not None and run.has_passed:
-            # Failed again: after a pause, or since the level was raised.
+            # A claim that has passed can fail again after a pause, or after the level was raised.
             run.has_passed, run.since = False, now
         self._record_failure(key, run, None if failed is None else failed.name, now)
         if failed is None and not run.has_passed:
@@ -237,13 +248,13 @@
 
     def _should_hand_over(self, run: CheckRun, failed: Check) -> bool:
         if not self._member.takeover_candidates():
-            # Nobody else would act: it stays here until it passes.
+            # No peer is available: the claim stays here until it passes.
             return False
         is_overdue = self._clock.now() - run.since > self._limit_s
         return is_overdue or failed.on_failure is Outcome.HAND_OVER
 
     def _block(self, key: str, failed: Check) -> None:
-        """Leave a claim that is handed over to others for a while."""
+        """Do not take a claim again for a while, since it is being handed over to a peer."""
         log.info("claim handed over key=%s check=%r", key, failed.name)
         self._blocked_until[key] = self._clock.now() + HANDED_OVER_BLOCK_S
         self._runs.pop(key, None)
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -1,4 +1,4 @@
-"""The warm standby of one controller: its takeover gate, failure detector and soft state."""
+"""The warm standby of a controller: its takeover gate, failure detector and soft state."""
 
 from __future__ import annotations
 
@@ -25,23 +25,24 @@
 log = logging.getLogger("badgerseam.standby")
 
 RESTART_WINDOW_S = 120.0
-"""For so long a restart of a home controller makes it wait for its shard after the next one."""
-MAX_STEADY_S = 60.0
-"""A home controller that has been alive for longer gets its shard back in any case."""
+"""Seconds during which a restart of a home controller still counts; each further restart within
+them doubles the time for which it must be available before its shard is returned."""
+MAX_REQUIRED_AVAILABLE_S = 60.0
+"""Seconds of availability after which a home controller gets its shard back in any case."""
 MAX_RESTARTS = 10
-"""Latest restarts of a peer that are remembered."""
+"""The number of latest restarts that are remembered for each peer."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerRestarts:
-    """The lease that a peer's record stands on, and when that has changed."""
+    """The lease to which a peer's record is attached, and the times at which it changed."""
 
     lease: int
     at: tuple[float, ...] = ()
 
 
 class WarmStandby:
-    """Puts the parts together, and answers the membership and the peers."""
+    """Combines the parts of the standby, and serves the claim policy and the peers' requests."""
 
     def __init__(
         self,
@@ -54,7 +55,7 @@
         process: str,
         blocked: BlockedOffers,
     ) -> None:
-        """`process`: a name that no other process has; `blocked`: the fleet's offers without
+        """`process`: a unique name of this process; `blocked`: the fleet's offers without
         capacity."""
         self._model = model
         self._member = member
@@ -83,7 +84,7 @@
                 "shard taken over shard=%d term=%d hints=%d", shard.index, claim.version, hints
             )
 
-    # ---- what the membership asks ----
+    # ---- takeover checks ----
 
     def may_act_on_shard(self, shard: Shard, claim: ObservedClaim) -> bool:
         """See `TakeoverGate`."""
@@ -97,32 +98,34 @@
         """See `TakeoverGate`."""
         return self.gate.may_claim(key)
 
-    def may_return_home(self, home: str, alive_s: float) -> bool:
-        """Whether a shard may go back to its home, which has been alive for `alive_s`.
+    def may_return_home(self, home: str, available_s: float) -> bool:
+        """Whether a shard may be returned to its home controller, which has been available for
+        `available_s` seconds.
 
-        It has to follow us, so that what we know goes with the shard, and each restart of its in
-        the last two minutes doubles the time that it has to be alive for: one that ends again and
-        again costs two changes of owner a restart otherwise.
+        The home must have received this controller's soft state, so that it is not lost with the
+        change of owner. Each restart of the home in the last two minutes, after the first, doubles
+        the time for which it must be available: otherwise a controller that crashes repeatedly
+        causes two changes of owner per restart.
         """
         now = self._clock.now()
         restarts = self._restarts.get(home, PeerRestarts(0))
         recent = [at for at in restarts.at if now - at < RESTART_WINDOW_S]
-        steady_s = MIN_AVAILABLE_S * 2.0 ** max(0, len(recent) - 1)
-        if alive_s > MAX_STEADY_S:
-            # It may have no standby, and never ask.
+        required_s = MIN_AVAILABLE_S * 2.0 ** max(0, len(recent) - 1)
+        if available_s > MAX_REQUIRED_AVAILABLE_S:
+            # The home's standby may be disabled, in which case it never asks for soft state.
             return True
-        return alive_s > steady_s and self.soft_state_sender.is_caught_up(home)
+        return available_s > required_s and self.soft_state_sender.is_caught_up(home)
 
-    # ---- driving ----
+    # ---- periodic work ----
 
     async def run(self) -> None:
-        """Watch the peers, until cancelled."""
+        """Call `step` periodically, until cancelled."""
         while True:
             await asyncio.sleep(self._step_s)
             self.step()
 
     def step(self) -> None:
-        """Called several times in `probe_s`."""
+        """Run the checks and the failure detector once; called several times in each `probe_s`."""
         model = self._model
         with model.lock:
             if not model.loaded:
@@ -145,11 +148,11 @@
     # ---- peers' requests ----
 
     async def handle(self, path: str, body: bytes) -> Reply:
-        """Answer a peer's request, to /standby/follow or /standby/view."""
+        """Answer a peer's request to /standby/follow or /standby/view."""
         try:
             if path == "/standby/view":
                 request = wire.peer_view_request_decoder.decode(body)
-                return Reply(200, wire.encode(self.failure_detector.view_of(request.node)))
+                return Reply(200, wire.encode(self.failure_detector.view_of_peer(request.node)))
             if path == "/standby/follow":
                 return await self._hold_request(wire.follow_request_decoder.decode(body))
         except msgspec.DecodeError:
@@ -157,15 +160,15 @@
         return error_reply(404, "no such path")
 
     async def _hold_request(self, follow: wire.FollowRequest) -> Reply:
-        # A controller that is drained may end only when no request is open at it.
+        # A controller that is being drained may end only while it holds no request open.
         is_held_open = not self._member.is_unavailable(UnavailableReason.DRAINING)
         if is_held_open:
             await asyncio.sleep(HOLD_S)
         return Reply(200, wire.encode(self.build_update(follow, is_held_open)))
 
     def build_update(self, follow: wire.FollowRequest, is_held_open: bool) -> wire.SoftStateUpdate:
-        """The soft state that has changed for a peer; `is_held_open`: whether its request was held
-        open before."""
+        """Build the update with the soft state that has changed for a peer; `is_held_open`: whether
+        its request was held open before."""
         with self._model.lock:
             claim = self._model.leader_claim
             is_leader = claim is not None and claim.record.node == self._member.node
