--- a/badgerseam/standby/takeover_gate.py
+++ b/badgerseam/standby/takeover_gate.py
@@ -195,8 +195,8 @@
     # ---- checking a claim ----
 
     def _run_for(self, key: str, claim: ObservedClaim) -> CheckRun:
-        """Returns the state of a claim's checks, which starts anew for each version of the
-        claim."""
+        """Returns the state of a claim's checks; each version of the claim starts with a new
+        one."""
         run = self._runs.get(key)
         if run is None or run.version != claim.version:
             run = self._runs[key] = CheckRun(claim.version, self._clock.now())
