--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -87,15 +87,15 @@
     # ---- takeover checks ----
 
     def may_act_on_shard(self, shard: Shard, claim: ObservedClaim) -> bool:
-        """See `TakeoverGate`."""
+        """Whether this controller may act as the shard's owner; see `TakeoverGate`."""
         return self.gate.may_act_on_shard(shard, claim)
 
     def may_act_as_leader(self, claim: ObservedClaim) -> bool:
-        """See `TakeoverGate`."""
+        """Whether this controller may act as the leader; see `TakeoverGate`."""
         return self.gate.may_act_as_leader(claim)
 
     def may_claim(self, key: str) -> bool:
-        """See `TakeoverGate`."""
+        """Whether this controller may take a claim; see `TakeoverGate`."""
         return self.gate.may_claim(key)
 
     def may_return_home(self, home: str, available_s: float) -> bool:
