--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -134,9 +134,9 @@
             group.create_task(self.fleet.machine_types.run())
             group.create_task(self.fleet.machine_list.run())
             group.create_task(self.fleet.run())
-            group.create_task(self.peers.keep_health())
+            group.create_task(self.peers.run_health_checks())
             if self.standby is not None:
-                group.create_task(self.standby.keep())
+                group.create_task(self.standby.run())
             if self.explainer is not None and self.explainer.samples:
                 group.create_task(self.explainer.keep_samples())
             if self.rollout is not None:
--- a/badgerseam/controller_loops.py
+++ b/badgerseam/controller_loops.py
@@ -130,7 +130,7 @@
         """Runs the planner for the shards that are marked for planning."""
         model, standby, replicas = self._model, self._components.standby, self._components.replicas
         started_at = self._clock.now()
-        if standby is not None and not standby.gate.is_steady():
+        if standby is not None and not standby.gate.lease_confirmed_since_pause():
             # The shards stay marked for planning.
             return
         with model.lock:
--- a/badgerseam/workers/direct_commands.py
+++ b/badgerseam/workers/direct_commands.py
@@ -68,7 +68,7 @@
         """
         if machine.command_in_flight or self._clock.now() < machine.next_push_at:
             return
-        if not self._member.holds_lease_for(self._model.shards[machine.shard]):
+        if not self._member.may_answer_heartbeats_for(self._model.shards[machine.shard]):
             return
         if machine.incarnation == 0:
             if machine.address:
