--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -94,7 +94,7 @@
         self.settings = settings
         self.tunables = tunables
         self._network = network
-        self._http = network.client(keep=self._idle_connection_limit)
+        self._http = network.client(max_idle=self._idle_connection_limit)
         self._servers: list[HttpServer] = []
         self.model = Model(settings, clock)
         self.state = self._create_state_client(random)
--- a/badgerseam/http/client.py
+++ b/badgerseam/http/client.py
@@ -77,16 +77,16 @@
     """Requests to any number of addresses over kept connections.
 
     The last controller of a site has the heartbeats of all workers and the users on its sockets, so
-    idle connections are limited: at most `keep` of them, a number or a function that returns the
-    present limit, are kept altogether, the most recently used ones.
+    idle connections are limited: at most `max_idle` of them, a number or a function that returns
+    the present limit, are kept altogether, the most recently used ones.
     """
 
-    def __init__(self, connect_s: float = 1.5, keep: int | Callable[[], int] = 64) -> None:
+    def __init__(self, connect_s: float = 1.5, max_idle: int | Callable[[], int] = 64) -> None:
         self._tcp = TCPClient()
         self._idle: OrderedDict[IOStream, str] = OrderedDict()
         self._by_address: dict[str, list[IOStream]] = {}
         self._connect_s = connect_s
-        self._max_idle = keep if callable(keep) else lambda: keep
+        self._max_idle = max_idle if callable(max_idle) else lambda: max_idle
 
     async def request(
         self, address: str, method: str, path: str, body: bytes | None, deadline_s: float
--- a/badgerseam/http/network.py
+++ b/badgerseam/http/network.py
@@ -11,9 +11,9 @@
 class Network:
     """Clients and servers over TCP sockets."""
 
-    def client(self, connect_s: float = 1.5, keep: int | Callable[[], int] = 64) -> HttpClient:
+    def client(self, connect_s: float = 1.5, max_idle: int | Callable[[], int] = 64) -> HttpClient:
         """A client with a time limit for connecting, and a limit of idle connections."""
-        return HttpClient(connect_s, keep)
+        return HttpClient(connect_s, max_idle)
 
     def server(self, handler: Handler) -> HttpServer:
         """A server of one handler; it does not listen yet."""
--- a/badgerseam/lab/explain_load.py
+++ b/badgerseam/lab/explain_load.py
@@ -24,7 +24,7 @@
     def __init__(self, lab: Lab, per_s: float) -> None:
         self._lab = lab
         self._per_s = per_s
-        self._http = HttpClient(keep=128)
+        self._http = HttpClient(max_idle=128)
         self._tasks = BackgroundTasks()
         self._loop: asyncio.Task[None] | None = None
         self.statuses: Counter[int] = Counter()
--- a/badgerseam/lab/late_heartbeats.py
+++ b/badgerseam/lab/late_heartbeats.py
@@ -36,7 +36,7 @@
         self._random = random
         self._nodes = nodes
         self._latest_s = LEASES * lease_s
-        self._http = network.client(keep=8)
+        self._http = network.client(max_idle=8)
         self._tasks = BackgroundTasks()
         self._next_leader = NextLeaderHeartbeats(random, sorted(nodes), leader_claim, self._bring)
         self.fraction = 0.0
--- a/badgerseam/lab/load.py
+++ b/badgerseam/lab/load.py
@@ -90,7 +90,7 @@
         self.factor = factor
         self._chained: str | None = None
         """The latest accepted batch job, for others to wait for."""
-        self._http = HttpClient(keep=128)
+        self._http = HttpClient(max_idle=128)
         self._users = BackgroundTasks()
         self._sources: list[asyncio.Task[None]] = []
         self.submitted = self.accepted = self.ended = self.given_up = 0
--- a/badgerseam/lab/load_balancer.py
+++ b/badgerseam/lab/load_balancer.py
@@ -43,7 +43,7 @@
         self._network = network
         self._nodes = nodes
         self._history = history
-        self._http = network.client(connect_s=0.5, keep=256)
+        self._http = network.client(connect_s=0.5, max_idle=256)
         self._failures = dict.fromkeys(nodes, 2)
         self._turn = 0
         self._specs: dict[str, wire.Submission] = {}
--- a/badgerseam/lab/machines.py
+++ b/badgerseam/lab/machines.py
@@ -68,7 +68,7 @@
         self._late_commands = late_commands
         self._held_up: set[asyncio.Task[None]] = set()
         """Direct commands that are on their way to it for long."""
-        self._http = network.client(connect_s=1.0, keep=4)
+        self._http = network.client(connect_s=1.0, max_idle=4)
         self._server = network.server(self._handle)
         self._gone = False
         self._at = random.choice(sorted(nodes))
