--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -138,7 +138,7 @@
             if self.standby is not None:
                 group.create_task(self.standby.run())
             if self.explainer is not None and self.explainer.samples:
-                group.create_task(self.explainer.keep_samples())
+                group.create_task(self.explainer.run_periodic_surveys())
             if self.rollout is not None:
                 group.create_task(self.rollout.migration.run())
             if self.runs is not None:
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -141,7 +141,7 @@
         """Whether the options ask for surveys at an interval, without questions."""
         return self._options.sample_s > 0
 
-    async def keep_samples(self) -> None:
+    async def run_periodic_surveys(self) -> None:
         """Survey all that waits at the interval of the options, so that a later question finds
         since when its reasons hold. Runs until cancelled."""
         while True:
