--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -137,7 +137,7 @@
             group.create_task(self.peers.run_health_checks())
             if self.standby is not None:
                 group.create_task(self.standby.run())
-            if self.explainer is not None and self.explainer.samples:
+            if self.explainer is not None and self.explainer.has_survey_interval:
                 group.create_task(self.explainer.run_periodic_surveys())
             if self.rollout is not None:
                 group.create_task(self.rollout.migration.run())
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -137,7 +137,7 @@
         )
 
     @property
-    def samples(self) -> bool:
+    def has_survey_interval(self) -> bool:
         """Whether the options ask for surveys at an interval, without questions."""
         return self._options.sample_s > 0
 
