--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -335,7 +335,7 @@
             self.peers.ask_owner,
             self.peers.ask_leader,
         )
-        self.peers.answer_questions_with(explainer.for_peer, self._cloud_view)
+        self.peers.answer_questions_with(explainer.answer_peer, self._cloud_view)
         return explainer
 
     def _create_explain_api(self) -> ExplainApi | None:
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -89,7 +89,7 @@
         with model.lock:
             return [self._answer(shard, job, survey) for job in jobs]
 
-    async def for_peer(self, shard_index: int, ids: list[str]) -> list[Explanation] | None:
+    async def answer_peer(self, shard_index: int, ids: list[str]) -> list[Explanation] | None:
         """The answers for a peer: as `local`, but None in place of NotOwnerError."""
         try:
             return await self.local(shard_index, ids)
