--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -66,7 +66,7 @@
 
     # ---- as the owner ----
 
-    async def local(self, shard_index: int, ids: list[str]) -> list[Explanation]:
+    async def answer_locally(self, shard_index: int, ids: list[str]) -> list[Explanation]:
         """Answers about jobs of a shard that this controller plans for. Jobs that it has not read
         yet are left out.
 
@@ -90,9 +90,9 @@
             return [self._answer(shard, job, survey) for job in jobs]
 
     async def answer_peer(self, shard_index: int, ids: list[str]) -> list[Explanation] | None:
-        """The answers for a peer: as `local`, but None in place of NotOwnerError."""
+        """The answers for a peer: as `answer_locally`, but None in place of NotOwnerError."""
         try:
-            return await self.local(shard_index, ids)
+            return await self.answer_locally(shard_index, ids)
         except NotOwnerError:
             return None
 
@@ -150,7 +150,7 @@
                 ids = [job.id for job in self._model.open_jobs[shard.index].values()]
                 try:
                     if shard.owned and ids:
-                        await self.local(shard.index, ids)
+                        await self.answer_locally(shard.index, ids)
                 except NotOwnerError:
                     log.debug("survey abandoned shard=%d reason=not_owner", shard.index)
 
@@ -185,7 +185,7 @@
                 pass
             elif claim.record.node == self._member.node:
                 try:
-                    answers = await self.local(shard_index, ids)
+                    answers = await self.answer_locally(shard_index, ids)
                 except NotOwnerError:
                     log.debug("answer deferred shard=%d reason=not_owner", shard_index)
             else:
