--- a/badgerseam/api/__init__.py
+++ b/badgerseam/api/__init__.py
@@ -1,1 +1,1 @@
-"""What users see."""
+"""The HTTP API for users, operators, workers and health checks."""
--- a/badgerseam/api/accounting.py
+++ b/badgerseam/api/accounting.py
@@ -1,4 +1,4 @@
-"""Accounting: jobs that have ended, their attempts, totals by day and team."""
+"""The accounting API: ended jobs, their attempts, and totals by day and team."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 ACCOUNTING = "/accounting"
 ATTEMPTS_PER_S = 2.0
-"""Requests for attempts a second: each reads pages of the log from the state service, whose
-requests others need as well."""
+"""Requests for attempts per second: each reads pages of the log from the state service, whose
+request rate is shared with other uses."""
 ATTEMPTS_BURST_S = 3.0
-"""Seconds of that rate that may be used at once."""
+"""Seconds of that rate that can be used at once."""
 MAX_JOBS_SCANNED = 2000
-"""Jobs examined for one answer; the last line then says where to go on."""
+"""Jobs examined for one response; the last line then says where to continue."""
 FILTERS = ("job", "team", "class", "user", "name", "state", "since", "until", "limit", "after")
 
 
 class AccountingApi:
-    """Answers `/accounting` and what lies below it, on any controller."""
+    """Answers requests at or below `/accounting`, on any controller."""
 
     def __init__(
         self, model: Model, history: JobHistory, attempt_log: AttemptLog | None = None
@@ -36,7 +36,7 @@
         self._rate = RateBudget(model.clock, ATTEMPTS_PER_S, ATTEMPTS_BURST_S)
 
     async def handle(self, method: str, path: str, query: str) -> Reply:
-        """A request at or below `/accounting`; the path comes without its query."""
+        """Handles a request at or below `/accounting`; `path` excludes the query."""
         if method != "GET":
             return error_reply(405, "GET only")
         if not self._model.loaded:
@@ -50,7 +50,7 @@
         return no_such_path_reply()
 
     async def attempts(self, query: str) -> Reply:
-        """The attempts of one job, a line each, and a last line that counts them."""
+        """Returns the attempts of one job, one per line, and their count in the last line."""
         job_id = dict(parse_qsl(query)).get("job", "")
         if self._attempt_log is None:
             return error_reply(404, "no log of attempts is kept (accounting.attempts)")
@@ -79,17 +79,17 @@
         return lines_reply([*lines, encode(AttemptsEnd(len(records), count, is_complete))])
 
     def totals(self) -> Reply:
-        """Totals by day and team."""
+        """Returns totals by day and team."""
         with self._model.lock:
             return Reply(200, encode(self._history.totals()))
 
     def jobs(self, query: str) -> Reply:
-        """Ended jobs, the latest first, a line each; a last line {"after": ID} if there may be
-        more.
+        """Returns ended jobs, the latest first, one per line; the last line is {"after": ID} if
+        there may be more.
         """
         try:
             filters, limit = read_filters(query, FILTERS)
-            since, until = _times(filters)
+            since, until = _end_time_range(filters)
         except BadQueryError as refusal:
             return refusal.reply
         lines: list[bytes] = []
@@ -111,8 +111,8 @@
         return lines_reply(lines)
 
 
-def _times(filters: dict[str, str]) -> tuple[float, float]:
-    """From when to when jobs must have ended, in seconds since 1970."""
+def _end_time_range(filters: dict[str, str]) -> tuple[float, float]:
+    """Returns the earliest and latest end time to list, in seconds since 1970."""
     try:
         return float(filters.get("since", "0")), float(filters.get("until", "inf"))
     except ValueError as error:
--- a/badgerseam/api/batch.py
+++ b/badgerseam/api/batch.py
@@ -1,4 +1,4 @@
-"""What batch clients ask of any controller: job numbers, terms, details, machines."""
+"""The API for batch clients on any controller: job numbers, terms, details, machines."""
 
 from __future__ import annotations
 
@@ -24,18 +24,19 @@
 NUMBERS = "/numbers"
 MACHINES = "/machines"
 MAX_NAMES = 20
-"""Machines of a row that are named."""
+"""Maximum number of machine names in one row."""
 MAX_NUMBER_DIGITS = 18
 MAX_ERROR_LENGTH = 300
-"""Characters of a decoder's message that a client gets."""
+"""Maximum length in characters of a decoding error that is sent to a client."""
 NUMBERS_BURST_S = 2.0
+"""Seconds of the rate of job numbers that can be used at once."""
 NUMBERS_MIN_BURST = 100.0
-"""Numbers that may always be handed out at once."""
-PHASES = {Phase.OPEN: "open", Phase.DONE: "done", Phase.CANCELLED: "withdrawn"}
+"""Numbers that can be allocated at once even if the rate is low."""
+PHASE_NAMES = {Phase.OPEN: "open", Phase.DONE: "done", Phase.CANCELLED: "withdrawn"}
 
 
 class BatchApi:
-    """Answers `/numbers` and `/machines`, and what batch clients ask of jobs."""
+    """Answers `/numbers` and `/machines`, and requests of batch clients about jobs."""
 
     def __init__(
         self,
@@ -50,11 +51,11 @@
         self._numbers = numbers
         self._rules = rules
         self._number_rate = RateBudget(
-            model.clock, options.numbers_per_s, NUMBERS_BURST_S, least_burst=NUMBERS_MIN_BURST
+            model.clock, options.numbers_per_s, NUMBERS_BURST_S, min_burst=NUMBERS_MIN_BURST
         )
 
     async def handle(self, method: str, path: str, body: bytes) -> Reply:
-        """A request for numbers or machines; the path comes without its query."""
+        """Handles a request for numbers or machines; `path` excludes the query."""
         if not self._model.loaded:
             return starting_reply()
         if path == NUMBERS and method == "POST":
@@ -67,8 +68,8 @@
 
     # ---- submissions ----
 
-    async def refusal(self, spec: Submission) -> str | None:
-        """Why a new job's terms cannot be taken, or None."""
+    async def refusal_reason(self, spec: Submission) -> str | None:
+        """Returns why a new job's terms cannot be accepted, or None."""
 
         async def is_known(job_id: str) -> bool:
             return await self._ledger.read(job_id) is not None
@@ -79,8 +80,8 @@
             return str(error)
         return None
 
-    def collides(self, spec: Submission) -> bool:
-        """Whether the id belongs to another job: a repeated submission has the same nonce."""
+    def is_id_taken(self, spec: Submission) -> bool:
+        """Whether another job has the id. A repeated submission has the same nonce."""
         if spec.terms is None or spec.terms.nonce is None:
             return False
         with self._model.lock:
@@ -93,7 +94,7 @@
     # ---- numbers ----
 
     async def allocate_numbers(self, body: bytes) -> Reply:
-        """Hand out numbers."""
+        """Allocates job numbers."""
         try:
             count = wire.numbers_request_decoder.decode(body or b"{}").count
         except msgspec.DecodeError as error:
@@ -104,7 +105,7 @@
         return Reply(200, wire.encode(wire.NumbersResponse(await self._numbers.allocate(count))))
 
     def find_number(self, text: str) -> Reply:
-        """The jobs that a number stands for."""
+        """Returns the jobs that a number refers to."""
         if not text.isdecimal() or not 1 <= len(text) <= MAX_NUMBER_DIGITS:
             return error_reply(400, "a job number has 1 to 18 digits")
         return Reply(200, wire.encode(wire.NumberLookup(self._numbers.ids_of(int(text)))))
@@ -112,33 +113,34 @@
     # ---- terms ----
 
     async def amend(self, job_id: str, body: bytes) -> Reply:
-        """Change an open job's terms."""
+        """Changes an open job's terms."""
         try:
             amendment = wire.amendment_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return _bad_request(error)
         fields = _given_fields(amendment)
         if amendment.depends is not msgspec.UNSET:
-            unknown = await self._unknown_dependency(amendment.depends)
-            if unknown is not None:
-                return escaped_error_reply(422, unknown)
+            error_text = await self._unknown_dependency(amendment.depends)
+            if error_text is not None:
+                return escaped_error_reply(422, error_text)
 
         def change(job: Job) -> tuple[Submission, dict[str, int]]:
             return self._changed_spec(job, fields)
 
         try:
-            amended = await self._amend_by_current_records(job_id, change)
+            amended = await self._amend_with_fresh_records(job_id, change)
         except TermsError as error:
             return escaped_error_reply(422, str(error))
         if amended is None:
             return error_reply(404, "no such job")
         if isinstance(amended, Phase):
-            return error_reply(409, f"the job has ended: {PHASES[amended]}")
+            return error_reply(409, f"the job has ended: {PHASE_NAMES[amended]}")
         with self._model.lock:
             return Reply(200, wire.encode(amended.spec.terms or Terms()))
 
     async def _unknown_dependency(self, depends: list[Dependency]) -> str | None:
-        """The refusal of the first dependency on a job that was never submitted, or None."""
+        """Returns the error text for the first dependency on a job that was never submitted, or
+        None."""
         for position, dependency in enumerate(depends):
             job_id = dependency.job
             with self._model.lock:
@@ -150,7 +152,7 @@
     def _changed_spec(
         self, job: Job, fields: dict[str, object]
     ) -> tuple[Submission, dict[str, int]]:
-        """The job's description with changed terms, and the versions that it rests on.
+        """Returns the job's spec with changed terms, and the versions that the change depends on.
 
         Raises TermsError if the terms contradict each other or the job.
         """
@@ -166,11 +168,11 @@
         terms = None if after == Terms() else after
         return msgspec.structs.replace(job.spec, terms=terms), conditions
 
-    async def _amend_by_current_records(
+    async def _amend_with_fresh_records(
         self, job_id: str, change: TermsChange
     ) -> Job | Phase | None:
-        """As `Ledger.amend`; a refusal rests on records that were read after the request came,
-        since another controller may have told the client of newer terms."""
+        """Calls `Ledger.amend`. A request is refused only on the basis of records that were read
+        after it arrived, since another controller may have told the client of newer terms."""
         read: set[str] = set()
         while True:
             try:
@@ -186,7 +188,7 @@
     # ---- reading ----
 
     def details(self, job: Job) -> Reply:
-        """All that is known of an open job."""
+        """Returns the details of an open job."""
         with self._model.lock:
             running = job.running()
             answer = wire.Details(
@@ -203,7 +205,7 @@
         return Reply(200, wire.encode(answer))
 
     def machines(self) -> Reply:
-        """Machines by type, zone, spot or not, and state, as the stored records show them."""
+        """Returns the machines by type, zone, spot and state, according to the stored records."""
         rows: dict[tuple[str, str, bool, str], list[Machine]] = {}
         with self._model.lock:
             for machine in self._model.machines.values():
@@ -223,12 +225,13 @@
 
 
 def _state(machine: Machine) -> str:
-    """A machine's state in the terms of batch clients."""
+    """Returns a machine's state as batch clients name it."""
     if machine.dropped or machine.draining or machine.lost:
         return "drained"
     used = machine.planned_use()
     if not machine.attempts:
-        # Only the owner of its shard gets its heartbeats.
+        # Only the owner of its shard receives its heartbeats, so that the incarnation alone does
+        # not show whether the machine is up.
         return (
             "idle"
             if machine.incarnation or machine.listed_running or machine.address
@@ -238,7 +241,7 @@
 
 
 def _given_fields(amendment: wire.Amendment) -> dict[str, object]:
-    """The terms that an amendment names, also those set to null."""
+    """Returns the terms that an amendment contains, including those set to null."""
     values = {name: getattr(amendment, name) for name in amendment.__struct_fields__}
     return {name: value for name, value in values.items() if value is not msgspec.UNSET}
 
--- a/badgerseam/api/classes.py
+++ b/badgerseam/api/classes.py
@@ -1,4 +1,4 @@
-"""Priority classes as operators see them: those in force, who disagrees, and setting others."""
+"""The API for priority classes: the classes in force, objections to them, and replacing them."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self._rules = rules
 
     async def handle(self, method: str, body: bytes) -> Reply:
-        """A request for `/classes`."""
+        """Handles a request for `/classes`."""
         if method not in ("GET", "POST"):
             return error_reply(405, "GET or POST only")
         if not self._model.loaded:
@@ -51,7 +51,7 @@
         return self.view()
 
     def view(self) -> Reply:
-        """The classes in force, as this controller's replica shows them."""
+        """Returns the classes in force, according to this controller's replica."""
         model, keeper, rules = self._model, self._record_keeper, self._rules
         with model.lock:
             record, revision = model.classes or (None, 0)
--- a/badgerseam/api/confirmations.py
+++ b/badgerseam/api/confirmations.py
@@ -12,16 +12,16 @@
 
 log = logging.getLogger("badgerseam.api")
 
-GATHER_S = 0.004
-"""How long the first confirmation of a batch waits for others to join it."""
+BATCH_WINDOW_S = 0.004
+"""Seconds that the first confirmation of a batch waits for others to join it."""
 TIMEOUT_S = 1.2
-"""Time limit of one comparing transaction."""
+"""Timeout in seconds of one comparing transaction."""
 RESERVED_FRACTION = 0.3
-"""Part of a second's requests to the state service that polls leave alone: users that ask many
-times as often wait for the next comparison, which serves all who came meanwhile, and renewals of
-leases, submissions and what follows the state service do not wait for them."""
-BATCH_TRANSACTIONS = 4
-"""Most keys of one comparison, as a multiple of a transaction's operations."""
+"""Fraction of the requests per second to the state service that polls leave unused. If users poll
+far too often, their polls wait for the next comparison, which serves all that arrive meanwhile;
+lease renewals, submissions and the watcher of the state service do not have to wait."""
+MAX_TRANSACTIONS_PER_BATCH = 4
+"""Maximum number of keys in one comparison, as a multiple of the operations per transaction."""
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
     waiters: list[asyncio.Future[bool]] = field(default_factory=list)
 
     def resolve(self, is_unchanged: bool, error: Exception | None) -> None:
-        """Give every waiter the result, or the error in its place."""
+        """Passes the result, or the error if there is one, to every waiter."""
         for waiter in self.waiters:
             if waiter.done():
                 continue
@@ -43,7 +43,7 @@
 
 
 class VersionConfirmations:
-    """Confirms by one comparing transaction that the keys asked about have not changed."""
+    """Confirms for all pending requests in one comparing transaction that keys have not changed."""
 
     def __init__(self, state: StateClient) -> None:
         self._state = state
@@ -67,16 +67,16 @@
         return await waiter
 
     async def _run(self) -> None:
-        """Confirm batch after batch until no key is pending."""
+        """Confirms one batch after another until no key is pending."""
         try:
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_WINDOW_S)
             while self._pending:
                 await self._confirm_batch()
         finally:
             self._is_running = False
 
     async def _confirm_batch(self) -> None:
-        """Compare the pending keys in one transaction; each of their waiters gets a result."""
+        """Compares the pending keys in one transaction and passes the result to their waiters."""
         batch = self._take_batch()
         changed: set[str] = set()
         error: Exception | None = None
@@ -87,16 +87,16 @@
             changed = set(refusal.failed)
         except StateUnavailableError as unavailable:
             error = unavailable
-        except Exception as unforeseen:
-            # Whatever it was, the next batch is confirmed: else no poll would ever be answered.
+        except Exception as unexpected:
+            # Continue with the next batch: otherwise no later poll would be answered.
             log.exception("version confirmation failed")
-            error = unforeseen
+            error = unexpected
         for key, pending in batch.items():
             pending.resolve(key not in changed, error)
 
     def _take_batch(self) -> dict[str, _PendingKey]:
-        """Remove the oldest pending keys, as many as one comparison may have."""
-        max_keys = BATCH_TRANSACTIONS * self._state.params.txn_ops
+        """Removes and returns the oldest pending keys, as many as one comparison can have."""
+        max_keys = MAX_TRANSACTIONS_PER_BATCH * self._state.params.txn_ops
         batch = dict(list(self._pending.items())[:max_keys])
         for key in batch:
             del self._pending[key]
--- a/badgerseam/api/explain.py
+++ b/badgerseam/api/explain.py
@@ -1,4 +1,4 @@
-"""Why one job waits, and the list of all open jobs."""
+"""The API that explains why a job waits, and lists the open jobs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from badgerseam.api.lists import BadQueryError, lines_reply, read_filters
 from badgerseam.api.replies import RETRY_AFTER_S, starting_reply
 from badgerseam.explain.explainer import Explainer
-from badgerseam.explain.held_back import TERMS
+from badgerseam.explain.held_back import TERM_CODES
 from badgerseam.http.budget import RateBudget
 from badgerseam.http.server import Reply, error_reply
 from badgerseam.model.job import Job, Phase
@@ -20,18 +20,18 @@
 
 QUEUE = "/queue"
 RATE_BURST_S = 2.0
-"""Seconds of the rate of questions that may be used at once."""
+"""Seconds of the rate of questions that can be used at once."""
 LINES_PER_QUESTION = 50
-"""Lines with reasons that count as one question."""
+"""Number of lines with reasons that count as one question."""
 PLAIN_LINES_PER_QUESTION = 500
-"""Lines without reasons that count as one question: they need no survey."""
+"""Number of lines without reasons that count as one question; they need no survey."""
 NO_TERMS = Terms()
-TRUE = ("1", "true")
+TRUE_VALUES = ("1", "true")
 FILTERS = ("after", "limit", "team", "class", "reasons", "waiting")
 
 
 class ExplainApi:
-    """Admits questions at a limited rate, so that no number of them delays leases or plans."""
+    """Answers questions at a limited rate, so that they do not delay leases or plans."""
 
     def __init__(self, model: Model, explainer: Explainer, options: ExplainOptions) -> None:
         self._model = model
@@ -40,21 +40,21 @@
         self._rate = RateBudget(model.clock, options.questions_per_s, RATE_BURST_S)
 
     def rate_limit_reply(self, questions: float = 1.0) -> Reply | None:
-        """The refusal if so many questions exceed the rate, or None; admitted ones are counted."""
+        """Returns an error if so many questions exceed the rate; otherwise counts them."""
         if self._rate.take(questions):
             return None
         wait_s = max(1, math.ceil(self._rate.wait_s(questions)))
         return error_reply(429, "too many questions", wait_s)
 
     async def why(self, job: Job) -> Reply:
-        """Why an open job waits; the caller has confirmed that it is open."""
+        """Returns why a job waits; the caller has confirmed that the job is open."""
         answer = await self._explainer.ask(job)
         if answer is None:
             return error_reply(503, "nobody can vouch for an answer now", RETRY_AFTER_S)
         return Reply(200, encode(answer))
 
     async def handle_queue(self, method: str, query: str) -> Reply:
-        """A request for `/queue`."""
+        """Handles a request for `/queue`."""
         if method != "GET":
             return error_reply(405, "GET only")
         if not self._model.loaded:
@@ -62,12 +62,12 @@
         return await self.queue(query)
 
     async def queue(self, query: str) -> Reply:
-        """Open jobs in the order of their ids, a line each."""
+        """Returns the open jobs in the order of their ids, one per line."""
         try:
             filters, limit = read_filters(query, FILTERS)
         except BadQueryError as refusal:
             return refusal.reply
-        with_reasons = filters.get("reasons") in TRUE
+        with_reasons = filters.get("reasons") in TRUE_VALUES
         lines_per_question = LINES_PER_QUESTION if with_reasons else PLAIN_LINES_PER_QUESTION
         rate_refusal = self.rate_limit_reply(limit / lines_per_question)
         if rate_refusal is not None:
@@ -77,12 +77,13 @@
             jobs = [job for shard in model.open_jobs for job in shard.values() if _is_open(job)]
             jobs = [job for job in jobs if _matches(job, filters)]
             jobs = heapq.nsmallest(limit, jobs, key=lambda job: job.id)
-        answers = await self._answers(jobs) if with_reasons else {}
+        answers = await self._explanations(jobs) if with_reasons else {}
         with model.lock:
             return lines_reply(encode(self._line(job, answers.get(job.id))) for job in jobs)
 
-    async def _answers(self, jobs: list[Job]) -> dict[str, Explanation]:
-        """Why jobs wait, by job; those that nobody can vouch for in time are missing."""
+    async def _explanations(self, jobs: list[Job]) -> dict[str, Explanation]:
+        """Returns why jobs wait, by job id, without jobs for which no controller can answer in
+        time."""
         by_shard: dict[int, list[str]] = {}
         for job in jobs:
             by_shard.setdefault(job.shard, []).append(job.id)
@@ -91,15 +92,15 @@
         )
         return {answer.id: answer for answers in found for answer in answers}
 
-    def _unmet_terms(self, job: Job) -> list[Code]:
-        """The term that holds a job back, which needs no survey to be known."""
+    def _unmet_term_codes(self, job: Job) -> list[Code]:
+        """Returns the code of the term that holds a job back, if any; this needs no survey."""
         if job.spec.terms is None or job.waiting() <= 0:
             return []
         hold_reason = self._rules.hold_reason(job)
-        return [] if hold_reason is None else [TERMS[hold_reason]]
+        return [] if hold_reason is None else [TERM_CODES[hold_reason]]
 
     def _line(self, job: Job, answer: Explanation | None) -> QueueLine:
-        """A job's line; callers hold the model's lock."""
+        """Returns a job's line; callers hold the model's lock."""
         spec = job.spec
         terms = spec.terms or NO_TERMS
         running = job.running()
@@ -120,7 +121,7 @@
             running,
             job.finished,
             round(max(0.0, self._model.clock.wall() - job.submitted), 1),
-            binding or self._unmet_terms(job),
+            binding or self._unmet_term_codes(job),
             reasons[0].text if reasons else None,
             terms.name,
             terms.user,
@@ -147,5 +148,5 @@
         job.id > filters.get("after", "")
         and filters.get("team", job.spec.team) == job.spec.team
         and filters.get("class", job.spec.job_class) == job.spec.job_class
-        and (filters.get("waiting") not in TRUE or job.waiting() > 0)
+        and (filters.get("waiting") not in TRUE_VALUES or job.waiting() > 0)
     )
--- a/badgerseam/api/lists.py
+++ b/badgerseam/api/lists.py
@@ -1,4 +1,4 @@
-"""Lists of the user API: filters in a query, one JSON object a line in the answer."""
+"""Lists in the user API: filters in the query, one JSON object per line in the response."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 NDJSON = "application/x-ndjson"
 DEFAULT_LINES = "100"
 MAX_LINES = 500
-"""Most lines of one answer."""
+"""Maximum number of lines in one response."""
 
 
 class BadQueryError(BadgerseamError):
-    """A query that cannot be answered; `reply` is the refusal that the client gets."""
+    """A query that cannot be answered; `reply` is the error response for the client."""
 
     def __init__(self, text: str) -> None:
         super().__init__(text)
@@ -24,7 +24,7 @@
 
 
 def read_filters(query: str, known: Sequence[str]) -> tuple[dict[str, str], int]:
-    """The filters of a query, and the most lines that its answer may have.
+    """Returns the filters of a query and the maximum number of lines in the response.
 
     Raises BadQueryError for a filter that is not among `known`, or a limit out of range.
     """
@@ -39,5 +39,5 @@
 
 
 def lines_reply(lines: Iterable[bytes]) -> Reply:
-    """The reply with one JSON object a line."""
+    """Returns a reply with one JSON object per line."""
     return Reply(200, b"".join(line + b"\n" for line in lines), content_type=NDJSON)
--- a/badgerseam/api/rollout.py
+++ b/badgerseam/api/rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts as operators see them: their state, the target level, draining a controller."""
+"""The rollout API for operators: rollout state, target level, draining a controller."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RolloutApi:
-    """Answers `/rollout` and what lies below it."""
+    """Answers requests at or below `/rollout`."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._started_at = model.clock.now()
 
     async def handle(self, method: str, path: str, body: bytes) -> Reply:
-        """A request below `/rollout` that changes something."""
+        """Handles a request below `/rollout`; all of them change something."""
         action = path[len(ROLLOUT) + 1 :]
         if action not in ("target", "leave", "return"):
             return no_such_path_reply()
@@ -79,7 +79,7 @@
         return self.view()
 
     def _level_refusal(self, level: int) -> Reply | None:
-        """The refusal of a level that the site cannot be brought to, or None."""
+        """Returns the error for a target level that the site cannot reach, or None."""
         model = self._model
         if not model.program.supports(level):
             least, most = model.program.min_level, model.program.max_level
@@ -90,7 +90,7 @@
         return None
 
     def view(self) -> Reply:
-        """The state of the rollout, as this controller's replica shows it."""
+        """Returns the state of the rollout, according to this controller's replica."""
         model, member, level_upgrade = self._model, self._member, self._level_upgrade
         with model.lock:
             next_level = level_upgrade.next_level()
@@ -105,13 +105,13 @@
                 [] if next_level is None else level_upgrade.obstacles(next_level),
                 [shard.index for shard in model.shards if shard.claim is None],
                 None if leader is None else leader.record.node,
-                [self._controller(name, owners) for name in member.order],
-                self._own(),
+                [self._controller_view(name, owners) for name in member.order],
+                self._own_view(),
             )
         return Reply(200, wire.encode(view))
 
-    def _controller(self, name: str, owners: dict[int, str]) -> wire.ControllerView:
-        """A controller of the site; `owners`: the owner of each shard that has one."""
+    def _controller_view(self, name: str, owners: dict[int, str]) -> wire.ControllerView:
+        """Returns the view of a controller; `owners` is the owner of each shard that has one."""
         model = self._model
         controller = model.controllers.get(name)
         is_leader = model.leader_claim is not None and model.leader_claim.record.node == name
@@ -125,7 +125,7 @@
         )
 
     def _own_state(self) -> str:
-        """The state of this controller, in the words of the command line."""
+        """Returns the state of this controller as the command line names it."""
         if self._member.is_unavailable(UnavailableReason.UNSUPPORTED_LEVEL):
             return "unfit"
         if not self._model.loaded:
@@ -134,16 +134,16 @@
             return "left"
         return "leaving" if self._handover.is_draining else "acting"
 
-    def _own(self) -> wire.OwnView:
-        """This controller, with what only it knows."""
+    def _own_view(self) -> wire.OwnView:
+        """Returns the view of this controller, with the details that only it has."""
         model = self._model
         now = model.clock.now()
         recent_since = now - RECENT_INTERVALS * model.settings.params.workers.report_s
-        machines = machines_heard_from = 0
+        machines = responsive_machines = 0
         for shard in model.shards:
             if shard.owned:
                 machines += len(model.shard_machines[shard.index])
-                machines_heard_from += sum(
+                responsive_machines += sum(
                     machine.last_heartbeat_at >= recent_since
                     for machine in model.shard_machines[shard.index].values()
                 )
@@ -153,7 +153,7 @@
             self._handover.may_stop,
             model.is_up_to_date,
             machines,
-            machines_heard_from,
+            responsive_machines,
             round(now - self._started_at, 1),
             self._refresh.view(),
             self._migration.view(),
--- a/badgerseam/api/run_members.py
+++ b/badgerseam/api/run_members.py
@@ -1,4 +1,4 @@
-"""The members of a reckoning run, in pages."""
+"""Pages of the members of a reckoning run."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class MemberCursor(NamedTuple):
-    """The last member of a page, behind which the next one begins."""
+    """The last member of a page; the next page starts after it."""
 
     job_id: str
     task: int | None
-    """None: all tasks of the job have been listed."""
+    """None if all tasks of the job have been listed."""
 
     @classmethod
     def parse(cls, text: str) -> MemberCursor | None:
-        """The cursor of a text such as `job-000412/3` or `job-000412`; None if it is neither."""
+        """Returns the cursor for a text such as `job-000412/3` or `job-000412`, or None."""
         job_id, _, task = text.partition("/")
         if not job_id or (task and not task.isdecimal()):
             return None
@@ -31,16 +31,17 @@
 
 
 class _MemberJob(NamedTuple):
-    """A job of the run, in the order of the pages."""
+    """A job of the run; pages list the jobs by queue position and id."""
 
     queue_position: int
     job_id: str
     job: Job | None
-    """None if it had ended when the page was begun."""
+    """None if the job had ended when the page was started."""
 
 
 class RunMembers:
-    """Lists members as the replica of the stored state has them, in slices."""
+    """Lists members from the replica of the stored state, and yields to the event loop after each
+    slice of tasks."""
 
     def __init__(self, model: Model, index: RunIndex) -> None:
         self._model = model
@@ -54,14 +55,15 @@
         cursor: MemberCursor | None,
         limit: int,
     ) -> wire.MemberPage | None:
-        """Members behind the cursor, by their job's queue position and their task's number; None
-        if the cursor's job is not in the run. `state` filters them; None: all."""
+        """Returns the members after the cursor, ordered by the queue position of their job and
+        their task number; None if the cursor's job is not in the run. `state` filters the members;
+        None lists all."""
         jobs = self._jobs_in_order(plan, number)
         begin = _first_position(jobs, cursor)
         if begin is None:
             return None
         views: list[wire.MemberView] = []
-        slice_size = 0
+        tasks_in_slice = 0
         for position in range(begin, len(jobs)):
             _, job_id, job = jobs[position]
             ended = plan.ended.get(job_id)
@@ -78,16 +80,16 @@
                 last_task = self._append_views(views, limit, plan, job, tasks, state)
                 if last_task is not None:
                     return wire.MemberPage(views, f"{job_id}/{last_task}")
-                slice_size += len(tasks)
+                tasks_in_slice += len(tasks)
                 first = tasks.stop
-                if slice_size >= SLICE:
-                    # Heartbeats and plans have their turn.
-                    slice_size = 0
+                if tasks_in_slice >= SLICE:
+                    # Let the event loop handle heartbeats and plans.
+                    tasks_in_slice = 0
                     await asyncio.sleep(0)
         return wire.MemberPage(views)
 
     def _jobs_in_order(self, plan: PlanJobs, number: int) -> list[_MemberJob]:
-        """The run's jobs by queue position, open and ended ones."""
+        """Returns the run's open and ended jobs, ordered by queue position."""
         with self._model.lock:
             jobs = [_MemberJob(job.queue_position, job.id, job) for job in plan.members(number)]
             jobs += [
@@ -107,18 +109,19 @@
         tasks: range,
         state: str | None,
     ) -> int | None:
-        """Append the views of an open job's tasks; the task that filled the page, or None."""
+        """Appends the views of an open job's tasks; returns the task that filled the page, or
+        None."""
         with self._model.lock:
             for task in tasks:
                 member_state = self._index.member_state(plan, job, task)
                 if state in (None, member_state.value):
-                    views.append(self._view(job, task, member_state))
+                    views.append(self._member_view(job, task, member_state))
                     if len(views) >= limit:
                         return task
         return None
 
-    def _view(self, job: Job, task: int, state: MemberState) -> wire.MemberView:
-        """One member of an open job."""
+    def _member_view(self, job: Job, task: int, state: MemberState) -> wire.MemberView:
+        """Returns the view of one member of an open job."""
         attempt = job.attempts.get(task)
         machine: str | None = None
         running_s: float | None = None
@@ -142,7 +145,7 @@
 
 
 def _first_position(jobs: list[_MemberJob], cursor: MemberCursor | None) -> int | None:
-    """Where the page begins among the jobs; None if the cursor's job is not one of them."""
+    """Returns the index of the page's first job; None if the cursor's job is not in the list."""
     if cursor is None:
         return 0
     job_ids = [entry.job_id for entry in jobs]
@@ -152,7 +155,7 @@
 
 
 def _ended_views(job_id: str, ended: EndedJob | None, state: str | None) -> list[wire.MemberView]:
-    """The members of an ended job, one entry for all in the same state."""
+    """Returns the members of an ended job, one entry for all members in the same state."""
     if ended is None:
         return []
     counts = (
--- a/badgerseam/api/runs.py
+++ b/badgerseam/api/runs.py
@@ -1,9 +1,9 @@
-"""Reckoning runs as operators see them: the list, one run, its members, and closing one.
+"""The API for reckoning runs: listing runs, viewing a run and its members, and closing a run.
 
-Any controller answers. The runs' records are confirmed by a comparing transaction, as a job is for
-a poll, together with the absence of a later run. The states of members come from the controller's
-replica of the stored state, which follows the state service with a delay of some hundredths of a
-second.
+Any controller answers. Before it does, a comparing transaction confirms the runs' records, as it
+confirms a job for a poll, and also that no later run exists. The states of members come from the
+controller's replica of the stored state, which lags behind the state service by some hundredths of
+a second.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 RUNS = "/runs"
 READ_TIMEOUT_S = 1.0
 MAX_CONFIRM_ATTEMPTS = 3
-"""Rounds of confirming and reading again before an operator is asked to come again."""
+"""Rounds of confirming and rereading before an operator is asked to retry."""
 MAX_RUNS_LISTED = 10
-"""Runs of each plan in the list, the latest ones."""
+"""Number of runs of each plan in the list; the latest ones are listed."""
 MAX_RUN_DIGITS = 9
 CLOSED_COUNT_NAMES = ("reckoned", "withdrawn", "unresolved")
-"""What the counts of a closed run's record stand for, in their order."""
+"""Names of the counts in a closed run's record, in their order."""
 
 Confirm = Callable[[str, int], Awaitable[bool]]
-"""Whether a key has a version (0: it does not exist) now; StateUnavailableError if the state
-service cannot confirm it."""
+"""Returns whether a key currently has a version (0: the key does not exist). Raises
+StateUnavailableError if the state service cannot confirm it."""
 
 
 class RunsApi:
-    """Answers `/runs` and what lies below it."""
+    """Answers requests at or below `/runs`."""
 
     def __init__(
         self, model: Model, state: StateClient, index: RunIndex, lifecycle: RunLifecycle
@@ -59,11 +59,11 @@
         self._confirm: Confirm | None = None
 
     def confirm_with(self, confirm: Confirm) -> None:
-        """Set how versions are confirmed; required before the first request."""
+        """Sets the function that confirms versions; required before the first request."""
         self._confirm = confirm
 
     async def handle(self, method: str, target: str) -> Reply:
-        """A request at or below `/runs`: the list, or `/runs/PLAN/NUMBER` and what lies below."""
+        """Handles a request for the list `/runs`, for `/runs/PLAN/NUMBER`, or below it."""
         if not self._model.loaded:
             return starting_reply()
         path, _, query = target.partition("?")
@@ -76,7 +76,7 @@
         return await self._handle_run(segments, query)
 
     async def _handle_run(self, segments: list[str], query: str) -> Reply:
-        """A request for one run, named by the path's segments behind `/runs`."""
+        """Handles a request for one run; `segments` is the path after `/runs`."""
         plan = self._index.plans.get(segments[0])
         if plan is None:
             known = ", ".join(self._index.plans)
@@ -102,8 +102,8 @@
     # ---- confirming ----
 
     async def _confirm_latest(self, plans: list[PlanJobs]) -> bool:
-        """Whether the model has the latest run of each of these plans, as the state service has it
-        now. What has changed is read, and confirmed in the next round.
+        """Whether the model has the latest run of each of these plans as it is now in the state
+        service. Records that have changed are read again and confirmed in the next round.
 
         Raises StateUnavailableError if the state service cannot confirm it.
         """
@@ -124,7 +124,7 @@
         return False
 
     def _expected_versions(self, plans: list[PlanJobs]) -> dict[str, int]:
-        """The versions of the plans' latest runs, and 0 for the runs that would follow them."""
+        """Returns the versions of the plans' latest runs, and 0 for the runs that would follow."""
         with self._model.lock:
             versions = {run_key(plan.plan.name, plan.latest + 1): 0 for plan in plans}
             versions |= {
@@ -149,7 +149,7 @@
         return Reply(200, wire.encode(await self._view(plan, number)))
 
     async def _view(self, plan: PlanJobs, number: int) -> wire.RunView:
-        """One run as operators see it."""
+        """Returns the view of one run."""
         with self._model.lock:
             record, _ = self._model.runs[plan.plan.name][number]
             later_tasks = _tasks_after(plan, number) if number == plan.latest else 0
@@ -172,8 +172,8 @@
         )
 
     async def _close(self, plan: PlanJobs, number: int) -> Reply:
-        """Close a run at an operator's request: the same write as the leader's, on the same
-        versions, so that it happens once whoever makes it."""
+        """Closes a run at an operator's request. The write is the same as the leader's and
+        conditional on the same versions, so only one of the two can succeed."""
         with self._model.lock:
             record = plan.record if number == plan.latest else None
             closing: StoredRun | None = None
@@ -216,5 +216,5 @@
 
 
 def _tasks_after(plan: PlanJobs, number: int) -> int:
-    """Tasks of the plan's open jobs that belong to later runs than this one."""
+    """Returns the number of tasks of the plan's open jobs that belong to later runs."""
     return sum(job.tasks for job in plan.all_jobs() if plan.run_number(job.queue_position) > number)
--- a/badgerseam/api/submissions.py
+++ b/badgerseam/api/submissions.py
@@ -1,4 +1,4 @@
-"""The jobs of users: submissions, polls, cancellations."""
+"""The API for users' jobs: submission, polls, cancellation."""
 
 from __future__ import annotations
 
@@ -40,22 +40,22 @@
 ID_TAKEN = "another job has this id"
 JOB_ID = re.compile(r"job-[0-9]{1,18}")
 MAX_ERROR_LENGTH = 300
-"""Characters of a decoder's message that a client gets."""
+"""Maximum length in characters of a decoding error that is sent to a client."""
 MAX_READ_ATTEMPTS = 3
-"""Reads of a job that changes each time, before its user is asked to come again."""
+"""Reads of a job that changes each time, before its user is asked to retry."""
 
 
 @dataclass(frozen=True, slots=True)
 class _JobAction:
-    """What is done at a path below a job's, and the one method that it allows."""
+    """The handler of a path below a job's, and the one method that the path allows."""
 
     method: str
-    answer: Callable[[str, bytes], Awaitable[Reply]]
-    """Takes the job's id and the request's body."""
+    handler: Callable[[str, bytes], Awaitable[Reply]]
+    """Called with the job's id and the request's body."""
 
 
 class SubmissionsApi:
-    """Answers `/submissions` and what lies below it."""
+    """Answers requests at or below `/submissions`."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
     def _job_actions(
         self, explain: ExplainApi | None, batch: BatchApi | None
     ) -> dict[str, _JobAction]:
-        """What may be asked of a job, by the rest of the path behind its id."""
+        """Returns the actions on a job, by the part of the path after its id."""
         actions = {
             "": _JobAction("GET", self._status),
             "abort": _JobAction("POST", self._cancel),
@@ -89,14 +89,14 @@
         return actions
 
     async def handle(self, method: str, path: str, body: bytes) -> Reply:
-        """A request at or below `/submissions`; the path comes without its query."""
+        """Handles a request at or below `/submissions`; `path` excludes the query."""
         if path == SUBMISSIONS:
             if method != "POST":
                 return error_reply(405, "POST only")
             return await self._submit(body)
         job_id, _, name = path.removeprefix(SUBMISSIONS + "/").partition("/")
         if not JOB_ID.fullmatch(job_id):
-            # No such id can ever have been accepted.
+            # A job with an id of another form cannot have been accepted.
             return error_reply(404, "malformed id")
         if not self._model.loaded:
             return starting_reply()
@@ -105,7 +105,7 @@
             return no_such_path_reply()
         if method != action.method:
             return wrong_method_reply(action.method)
-        return await action.answer(job_id, body)
+        return await action.handler(job_id, body)
 
     # ---- submissions ----
 
@@ -130,36 +130,37 @@
         is_accepted = await self._ledger.accept(spec)
         with model.lock:
             job = None if spec.id in model.ended else model.job(spec.id)
-        # 201 once, by the transaction that made the job: of a job that was known already, or whose
-        # tasks are placed by now, this controller may know less than its user has been told.
+        # 201 is returned only for the transaction that created the job. If the job existed already,
+        # or some of its tasks are placed by now, its user may have been told a newer state than
+        # this controller has.
         if is_accepted and job is not None and not job.attempts and not job.finished:
             return _status_reply(201, wire.JobStatus(spec.id, "pending"))
         return await self._answer_repeated(spec)
 
     async def _terms_refusal(self, spec: wire.Submission, reason: str | None) -> str | None:
-        """Why a new job with terms cannot be accepted, or None; `reason` is what was found before
-        its terms were checked."""
+        """Returns why a new job with terms cannot be accepted, or None. `reason` is the result of
+        the checks before that of its terms."""
         if self._batch is None:
-            # Left unheeded, a hold or a dependency would be broken.
+            # If the terms were ignored, the job could run despite a hold or a dependency.
             return "terms: this site does not keep them (section batch of the options)"
-        return reason or await self._batch.refusal(spec)
+        return reason or await self._batch.refusal_reason(spec)
 
     async def _refuse(self, spec: wire.Submission, reason: str) -> Reply:
-        """Refuse a submission, unless it repeats one that was accepted: that gets the job's state,
-        whatever would be said of it now."""
+        """Refuses a submission, unless it repeats an accepted one: the reply to that is the job's
+        state, even if the job would be refused now."""
         if await self._ledger.read(spec.id) is not None:
             return await self._answer_repeated(spec)
         log.info("submission refused job=%s team=%s reason=%s", spec.id, spec.team, reason)
         return escaped_error_reply(422, reason)
 
     async def _answer_repeated(self, spec: wire.Submission) -> Reply:
-        """The state of a job that is known, unless another one has its id."""
-        if self._batch is not None and self._batch.collides(spec):
+        """Returns the state of an existing job, or an error if the id belongs to another job."""
+        if self._batch is not None and self._batch.is_id_taken(spec):
             return error_reply(409, ID_TAKEN)
         return await self._status(spec.id)
 
     def _infeasible_reason(self, spec: wire.Submission) -> str | None:
-        """Why a job can never run, or None."""
+        """Returns why a job can never run, or None."""
         model = self._model
         index = model.team_index.get(spec.team)
         if index is None:
@@ -186,7 +187,9 @@
     # ---- polls ----
 
     async def _status(self, job_id: str, _body: bytes = b"") -> Reply:
-        found = await self._read_confirmed(job_id, lambda job: _status_reply(200, _open(job)))
+        found = await self._read_confirmed(
+            job_id, lambda job: _status_reply(200, _open_status(job))
+        )
         if isinstance(found, wire.JobStatus):
             return _status_reply(200, found)
         return found
@@ -214,8 +217,8 @@
     async def _read_confirmed(
         self, job_id: str, read: Callable[[Job], T]
     ) -> T | wire.JobStatus | Reply:
-        """What `read` returns for an open job, confirmed not to have changed since; the final
-        state of an ended one; or the refusal if neither can be confirmed.
+        """Returns the result of `read` for an open job, confirmed not to have changed since; the
+        final state of an ended job; or an error reply if neither can be confirmed.
 
         `read` is called with the model's lock held.
         """
@@ -224,7 +227,7 @@
             with model.lock:
                 ended = model.ended.get(job_id)
                 if ended is not None:
-                    return _ended(job_id, *ended)
+                    return _ended_status(job_id, *ended)
                 job = model.job(job_id)
                 if job is not None:
                     version, result = job.version, read(job)
@@ -234,16 +237,18 @@
                     return error_reply(404, "no such job")
                 with model.lock:
                     if phase == Phase.OPEN and model.job(job_id) is None:
-                        # Of a team that the settings no longer name: nothing runs for it, but it
-                        # was accepted. What was read just now is as good as confirmed.
+                        # The job was accepted, but its team is no longer in the settings, so
+                        # that none of its tasks run. The record was read just now, which is as good
+                        # as a confirmation.
                         return wire.JobStatus(job_id, "pending", 0, 0)
                 continue
-            # Another controller may have told the user of an end that has not reached this one.
+            # Another controller may have told the user that the job has ended, before this replica
+            # shows it.
             if not await self._confirmations.unchanged(job_key(job_id), version):
                 await self._ledger.read(job_id, RESERVED_FRACTION)
             elif job_id not in model.ended:
-                # Else it ended while the comparison's answer was on its way, and its user may have
-                # been told.
+                # Otherwise the job ended while the comparison was in progress, and its user may
+                # have been told.
                 return result
         return error_reply(503, "changing", RETRY_AFTER_S)
 
@@ -259,14 +264,14 @@
     return Reply(code, wire.status_encoder.encode(status))
 
 
-def _ended(job_id: str, phase: Phase, tasks: int) -> wire.JobStatus:
-    """The final state of an ended job."""
+def _ended_status(job_id: str, phase: Phase, tasks: int) -> wire.JobStatus:
+    """Returns the final state of an ended job."""
     if phase == Phase.DONE:
         return wire.JobStatus(job_id, "done", tasks, 0)
     return wire.JobStatus(job_id, "withdrawn")
 
 
-def _open(job: Job) -> wire.JobStatus:
-    """The state of an open job as the model has it now."""
+def _open_status(job: Job) -> wire.JobStatus:
+    """Returns the current state of an open job in the model."""
     running = job.running()
     return wire.JobStatus(job.id, "running" if running else "pending", job.finished, running)
--- a/badgerseam/api/users.py
+++ b/badgerseam/api/users.py
@@ -1,4 +1,4 @@
-"""The listening address for users, workers and health checks: routing, and readiness."""
+"""Request routing and readiness for the address that users, workers and health checks use."""
 
 from __future__ import annotations
 
@@ -26,12 +26,13 @@
 HEARTBEATS = "/checkin"
 READINESS = "/ready"
 UNSUPPORTED_RETRY_AFTER_S = 2
-"""Sent to users of a controller that takes no part: another one answers them."""
+"""Seconds after which users of a controller that is set aside or draining are asked to retry;
+another controller answers them then."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Request:
-    """A request of a user, its path apart from its query."""
+    """A user's request, with the path separated from the query."""
 
     method: str
     target: str
@@ -43,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Route:
-    """Which requests a handler answers."""
+    """A handler and the requests that it answers."""
 
     matches: Callable[[_Request], bool]
-    answer: Callable[[_Request], Awaitable[Reply]]
+    handler: Callable[[_Request], Awaitable[Reply]]
 
 
 class UserApi:
     """The handler of the address that users, workers and health checks use.
 
-    An API that the site's options do not ask for is None, and its paths do not exist.
+    An API that the site's options do not enable is None, and its paths do not exist.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         ledger: Ledger,
         member: Membership,
         worker_manager: WorkerManager,
-        better_served_elsewhere: Callable[[], str | None],
+        redirect_reason: Callable[[], str | None],
         explain: ExplainApi | None = None,
         batch: BatchApi | None = None,
         accounting: AccountingApi | None = None,
@@ -74,7 +75,7 @@
         self._model = model
         self._member = member
         self._worker_manager = worker_manager
-        self._better_served_elsewhere = better_served_elsewhere
+        self._redirect_reason = redirect_reason
         self._rollout = rollout
         confirmations = VersionConfirmations(state)
         if runs is not None:
@@ -86,25 +87,25 @@
         ]
 
     async def handle(self, method: str, target: str, body: bytes) -> Reply:
-        """One request of a user or an operator."""
+        """Handles a request of a user or an operator."""
         unsupported_reason = self._model.unsupported_reason
         if unsupported_reason is not None:
-            # What this controller knows is as old as its standing aside, and in a form that may
-            # be past.
+            # This controller's replica has not been updated since it was set aside, and the
+            # format of the records may have changed since.
             return error_reply(503, unsupported_reason, UNSUPPORTED_RETRY_AFTER_S)
         path, _, query = target.partition("?")
         request = _Request(method, target, path, query, body)
         try:
             for route in self._routes:
                 if route.matches(request):
-                    return await route.answer(request)
+                    return await route.handler(request)
         except StateUnavailableError:
             return error_reply(503, "the state service cannot be asked", RETRY_AFTER_S)
         return no_such_path_reply()
 
     def dispatch(self, method: str, target: str, body: bytes) -> Reply | Awaitable[Reply]:
-        """Any request: workers' heartbeats and health checks are answered at once, the others may
-        wait for the state service."""
+        """Handles any request. Workers' heartbeats and health checks are answered at once; others
+        may wait for the state service."""
         if target == HEARTBEATS:
             if method != "POST":
                 return error_reply(405, "POST only")
@@ -112,21 +113,21 @@
         if target.partition("?")[0] == READINESS:
             return self.readiness()
         if target == ROLLOUT and method == "GET" and self._rollout is not None:
-            # Answered at once: it must not count among the open requests that a controller which
-            # drains waits for.
+            # Answered at once, so that it does not count among the open requests for which a
+            # draining controller waits.
             return self._rollout.view()
         return self.handle(method, target, body)
 
     def readiness(self) -> Reply:
-        """Whether load balancers should send users here: 200 or 503."""
-        # In an outage that all share, no controller is better than this one, and a removal from
-        # the load balancer would outlast it.
+        """Returns 200 if load balancers should send users to this controller, otherwise 503."""
+        # An outage that affects all controllers does not make this one unready: no other one
+        # would be better, and the removal from the load balancer would outlast the outage.
         unsupported_reason = self._model.unsupported_reason
         if unsupported_reason is not None:
             return error_reply(503, unsupported_reason, UNSUPPORTED_RETRY_AFTER_S)
         if self._member.is_unavailable(UnavailableReason.DRAINING):
             return error_reply(503, "leaving", UNSUPPORTED_RETRY_AFTER_S)
-        if self._model.loaded and self._model.types and self._better_served_elsewhere() is None:
+        if self._model.loaded and self._model.types and self._redirect_reason() is None:
             return Reply(200, b'{"ready":true}')
         return error_reply(503, "not ready", RETRY_AFTER_S)
 
@@ -134,7 +135,7 @@
 def _operator_routes(
     rollout: RolloutApi | None, classes: ClassesApi | None, runs: RunsApi | None
 ) -> list[_Route]:
-    """The routes of what operators ask."""
+    """Returns the routes of operators' requests."""
     routes: list[_Route] = []
     if rollout is not None:
         routes.append(
@@ -166,7 +167,7 @@
     batch: BatchApi | None,
     submissions: SubmissionsApi,
 ) -> list[_Route]:
-    """The routes of what users and batch clients ask."""
+    """Returns the routes of requests of users and batch clients."""
     routes: list[_Route] = []
     if explain is not None:
         routes.append(
--- a/badgerseam/explain/__init__.py
+++ b/badgerseam/explain/__init__.py
@@ -1,1 +1,3 @@
-"""Why a job waits: asked of any controller, answered by the one that plans for the job."""
+"""Explains why jobs wait. Any controller takes questions; the controller that plans for the job
+answers them.
+"""
--- a/badgerseam/explain/context.py
+++ b/badgerseam/explain/context.py
@@ -1,4 +1,4 @@
-"""What the reasons of one job are worded from."""
+"""The data from which the reasons for one job are built."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class Context:
-    """A job, and what is known of it at the time of the answer."""
+    """A job, and the state on which the answer about it is based."""
 
     model: Model
     job: Job
     survey: Survey
     supply: Supply
     now: float
-    """By the clock of the process, in seconds."""
+    """Time of the answer in seconds, by the clock of the process."""
     state_age_s: float
     """Seconds since the state service last confirmed this controller's lease."""
     rules: TermsRules
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -1,4 +1,4 @@
-"""Answers by the controller that plans for a job, and forwarding of questions to it."""
+"""Explains why jobs wait, and forwards questions to the controller that plans for the job."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from badgerseam.cluster.membership import Membership
 from badgerseam.explain.context import Context
 from badgerseam.explain.history import ReasonHistory
-from badgerseam.explain.reasons import ahead, groups
+from badgerseam.explain.reasons import group_tasks, jobs_ahead
 from badgerseam.explain.supply import AskLeader, LeaderCloudView
 from badgerseam.explain.surveys import NotOwnerError, Survey, Surveys
 from badgerseam.model.job import Job
@@ -24,20 +24,21 @@
 log = logging.getLogger("badgerseam.explain")
 
 MAX_LEASE_AGE_S = 5.0
-"""An owner whose lease was not confirmed for so long plans nothing, and answers nothing."""
+"""Seconds without confirmation of its lease after which an owner neither plans nor answers."""
 ANSWER_TIMEOUT_S = 1.3
-"""Time limit of an owner's answer: users wait 2 s, of which their own requests take a part."""
+"""Seconds within which an owner must answer: users wait 2 s, part of which their own requests
+take."""
 MIN_ANSWER_TIMEOUT_S = 0.1
 RETRY_INTERVAL_S = 0.1
 MAX_OBSERVATION_AGE_S = 0.5
-"""An answer from an older survey is no observation of the job."""
+"""Maximum age in seconds of a survey whose answers are recorded in the history of the job."""
 
 AskOwner = Callable[[str, Question, float], Awaitable[list[Explanation] | None]]
-"""Asks another controller, within so many seconds; None if it cannot or does not answer."""
+"""Asks another controller, with a timeout in seconds; returns None if there is no answer."""
 
 
 class Explainer:
-    """Answers for shards that this controller owns; forwards questions about others."""
+    """Answers questions about shards that this controller owns, and forwards those about others."""
 
     def __init__(
         self,
@@ -67,14 +68,15 @@
     # ---- as the owner ----
 
     async def answer_locally(self, shard_index: int, ids: list[str]) -> list[Explanation]:
-        """Answers about jobs of a shard that this controller plans for. Jobs that it has not read
-        yet are left out.
+        """Returns the answers about jobs of a shard that this controller plans for. Jobs that it
+        has not read yet are left out.
 
-        Raises NotOwnerError if it does not plan for the shard, or cannot vouch for its answers.
+        Raises NotOwnerError if it does not plan for the shard, or cannot be sure that it still
+        does.
         """
         model = self._model
         shard = model.shards[shard_index]
-        self._check_current(shard)
+        self._check_ownership(shard)
         with model.lock:
             jobs = [
                 job
@@ -85,19 +87,19 @@
         survey = Survey(self._clock.now(), model.revision, {}, {})
         if waiting:
             survey = await self.surveys.ask(shard, waiting)
-        self._check_current(shard)
+        self._check_ownership(shard)
         with model.lock:
             return [self._answer(shard, job, survey) for job in jobs]
 
     async def answer_peer(self, shard_index: int, ids: list[str]) -> list[Explanation] | None:
-        """The answers for a peer: as `answer_locally`, but None in place of NotOwnerError."""
+        """Returns the answers for a peer, or None where `answer_locally` raises NotOwnerError."""
         try:
             return await self.answer_locally(shard_index, ids)
         except NotOwnerError:
             return None
 
-    def _check_current(self, shard: Shard) -> None:
-        """Raise NotOwnerError unless this controller may act for the shard now."""
+    def _check_ownership(self, shard: Shard) -> None:
+        """Raises NotOwnerError unless this controller can currently act for the shard."""
         if (
             not shard.owned
             or shard.releasing
@@ -107,7 +109,7 @@
             raise NotOwnerError(str(shard.index))
 
     def _answer(self, shard: Shard, job: Job, survey: Survey) -> Explanation:
-        """The answer about one job; callers hold the model's lock."""
+        """Returns the answer about one job; callers hold the model's lock."""
         now = self._clock.now()
         context = Context(
             self._model,
@@ -118,7 +120,7 @@
             now - self._member.confirmed_at,
             self.rules,
         )
-        task_groups = groups(context)
+        task_groups = group_tasks(context)
         if now - survey.at < MAX_OBSERVATION_AGE_S:
             self.history.observe(
                 job.id, [reason.code for group in task_groups for reason in group.reasons], now
@@ -127,8 +129,8 @@
         return Explanation(
             job.id,
             "running" if job.running() else "pending",
-            [_dated(group, since) for group in task_groups],
-            ahead(context),
+            [_with_durations(group, since) for group in task_groups],
+            jobs_ahead(context),
             self._member.node,
             survey.revision,
             round(now - survey.at, 3),
@@ -138,12 +140,12 @@
 
     @property
     def has_survey_interval(self) -> bool:
-        """Whether the options ask for surveys at an interval, without questions."""
+        """Whether the options set an interval for surveys that run without questions."""
         return self._options.sample_s > 0
 
     async def run_periodic_surveys(self) -> None:
-        """Survey all that waits at the interval of the options, so that a later question finds
-        since when its reasons hold. Runs until cancelled."""
+        """Surveys all waiting jobs at the interval of the options, so that later answers can say
+        how long their reasons have held. Runs until cancelled."""
         while True:
             await asyncio.sleep(self._options.sample_s)
             for shard in self._model.shards:
@@ -157,31 +159,32 @@
     # ---- for any job ----
 
     async def ask(self, job: Job) -> Explanation | None:
-        """The answer about an open job from the controller that plans for it; None if none can
-        vouch for one in time."""
+        """Returns the answer about an open job from the controller that plans for it, or None if no
+        controller can answer in time."""
         answers = await self.ask_all(job.shard, [job.id])
         return answers[0] if answers else None
 
     async def ask_all(self, shard_index: int, ids: list[str]) -> list[Explanation]:
-        """Answers about jobs of one shard; those that no controller can vouch for in time are
-        missing."""
+        """Returns the answers about jobs of one shard, without jobs for which no controller can
+        answer in time."""
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                return await self._route(shard_index, ids)
+                return await self._ask_until_answered(shard_index, ids)
         except TimeoutError:
             return []
 
-    async def _route(self, shard_index: int, ids: list[str]) -> list[Explanation]:
-        """Ask the shard's owner until it answers, whoever that is meanwhile."""
+    async def _ask_until_answered(self, shard_index: int, ids: list[str]) -> list[Explanation]:
+        """Asks the shard's owner until it answers; the owner may change meanwhile."""
         shard = self._model.shards[shard_index]
         deadline = self._clock.now() + ANSWER_TIMEOUT_S
         while True:
             claim = shard.claim
             if claim is None and self._member.lease_confirmed_within(MAX_LEASE_AGE_S):
-                return [self._no_owner(shard, job_id) for job_id in ids]
+                return [self._unowned_answer(shard, job_id) for job_id in ids]
             answers: list[Explanation] | None = None
             if claim is None:
-                # This controller is cut off: another one may have claimed the shard long ago.
+                # This controller cannot reach the state service: another one may have claimed the
+                # shard long ago.
                 pass
             elif claim.record.node == self._member.node:
                 try:
@@ -195,11 +198,11 @@
                 )
             if answers:
                 return answers
-            # The shard has just been transferred, or its owner has not read the job yet.
+            # The shard was transferred a moment ago, or its owner has not read the job yet.
             await asyncio.sleep(RETRY_INTERVAL_S)
 
-    def _no_owner(self, shard: Shard, job_id: str) -> Explanation:
-        """The answer about a job whose shard no controller owns."""
+    def _unowned_answer(self, shard: Shard, job_id: str) -> Explanation:
+        """Returns the answer about a job whose shard no controller owns."""
         unowned_s = self._clock.now() - shard.unowned_since
         reason = Reason(
             "no_owner",
@@ -221,8 +224,9 @@
         )
 
 
-def _dated(group: Group, since: dict[Code, float]) -> Group:
-    """The group with the time for which each reason has held at least, unless a reason has one."""
+def _with_durations(group: Group, since: dict[Code, float]) -> Group:
+    """Returns the group with the minimum time for which each reason has held, unless the reason
+    already has one."""
     reasons = [
         reason
         if reason.since_s is not None
--- a/badgerseam/explain/held_back.py
+++ b/badgerseam/explain/held_back.py
@@ -1,4 +1,4 @@
-"""Why tasks are left out of the plan: terms, reckoning runs, failures, the end of the job."""
+"""Reasons why a plan leaves out tasks: terms, reckoning runs, failures, the end of the job."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from badgerseam.wire.explain import Code, Reason
 from badgerseam.wire.users import Terms
 
-TERMS: dict[str, Code] = {
+TERM_CODES: dict[str, Code] = {
     "held": "held",
     "begin_time": "begin_time",
     "dependency": "dependency",
@@ -18,8 +18,8 @@
     "singleton": "singleton",
     "throttle": "throttle",
 }
-"""The codes of the reasons that the rules of terms return."""
-RUNS = {
+"""Reason codes, by the reason that TermsRules returns."""
+RUN_TEXTS = {
     "run_not_open": ("has not been opened.", "The run opens (badgerseam runs list)."),
     "run_closing": (
         "is closing, and starts no more members.",
@@ -34,25 +34,25 @@
         "The other members are through, and the second round begins.",
     ),
 }
-"""By the reason that the rules of reckoning runs return: what the job's run does, and what changes
-it."""
+"""What the job's run does and what changes it, by the reason for which the run holds back its
+members."""
 
 
 class _TermStatement(NamedTuple):
-    """How a term holds tasks back."""
+    """Describes how a term holds tasks back."""
 
     text: str
     change: str
-    """What has to happen for it to hold them back no longer."""
+    """What must happen for the term to stop holding them back."""
     who: list[str]
     expected_s: float | None = None
 
 
 def held_back_reason(context: Context, code: str) -> Reason:
-    """The reason for which the plan leaves out a job's waiting tasks now."""
-    if code in TERMS:
+    """Returns the reason why plans currently leave out a job's waiting tasks."""
+    if code in TERM_CODES:
         return term_reason(context, code)
-    if code in RUNS:
+    if code in RUN_TEXTS:
         return _run_reason(context, code)
     if code == "backoff":
         return _backoff_reason(context)
@@ -64,9 +64,11 @@
 
 
 def term_reason(context: Context, code: str) -> Reason:
-    """The reason of tasks that a term of their job holds back."""
+    """Returns the reason for tasks that a term of their job holds back."""
     text, change, who, expected_s = _term_statement(context, code)
-    return Reason(TERMS[code], text, binding=True, expected_s=expected_s, change=change, who=who)
+    return Reason(
+        TERM_CODES[code], text, binding=True, expected_s=expected_s, change=change, who=who
+    )
 
 
 def _term_statement(context: Context, code: str) -> _TermStatement:
@@ -114,10 +116,10 @@
 
 
 def _run_reason(context: Context, code: str) -> Reason:
-    """Of members of a reckoning run."""
+    """Returns the reason for tasks that their reckoning run holds back."""
     run_index = context.model.job_observer
     name = "" if run_index is None else run_index.holding_run_name(context.job)
-    text, change = RUNS[code]
+    text, change = RUN_TEXTS[code]
     return Reason(
         "reckoning_run",
         f"Its tasks are members of the reckoning run {name}, which {text}",
@@ -128,7 +130,7 @@
 
 
 def _backoff_reason(context: Context) -> Reason:
-    """Of tasks that are started again after a pause, since they failed."""
+    """Returns the reason for tasks that have failed and are restarted after a pause."""
     job = context.job
     machines = [context.model.machines.get(index) for index in sorted(job.avoided_machines)]
     return Reason(
@@ -144,7 +146,7 @@
 
 
 def _failing_reason(job: Job) -> Reason:
-    """Of tasks that wait until one of them has run without failing."""
+    """Returns the reason for tasks that wait until one of them has run without failing."""
     return Reason(
         "failing",
         f"Its tasks have failed {job.errors} times in a row{_fault_statement(job)}: one at a time "
@@ -155,7 +157,8 @@
 
 
 def _fault_statement(job: Job) -> str:
-    """Distinguishes a job with a mistake in it from one that met a faulty machine."""
+    """Returns the text that attributes the failures to the job; empty if they may be caused by a
+    faulty machine."""
     if not job.is_at_fault:
         return ""
     return (
--- a/badgerseam/explain/members.py
+++ b/badgerseam/explain/members.py
@@ -1,4 +1,4 @@
-"""Why members of a replica that spans machines wait."""
+"""Reasons why members of a replica that spans machines wait."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 def replica_reason(job: Job, finding: Finding | None) -> Reason:
-    """The reason of a job whose replicas span machines; without a finding none of them requests
-    capacity now."""
+    """Returns the reason for a job whose replicas span machines; without a finding, none of them
+    currently requests capacity."""
     phases = Counter(
         ReplicaPhase(note.phase)
         for note in job.notes.values()
--- a/badgerseam/explain/predicates.py
+++ b/badgerseam/explain/predicates.py
@@ -1,4 +1,4 @@
-"""Predicates that keep tasks off machines, as reasons. No rule is decided here."""
+"""Reasons for the predicates that rule out machines; the rules themselves are in sched/."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 
 class Statement(NamedTuple):
-    """A reason in words."""
+    """The text of a reason."""
 
     text: str
     change: str
-    """What has to happen for the reason to go."""
+    """What must happen for the reason to disappear."""
     who: list[str]
-    """The machines, jobs or teams that it is about."""
+    """The machines, jobs or teams that the reason is about."""
 
 
 def predicate_reason(
     context: Context, finding: Finding, infeasibility: Infeasibility, predicate: Predicate
 ) -> Reason:
-    """The reason of one predicate that rules machines out."""
+    """Returns the reason for one predicate that rules out machines."""
     text, change, who = _statement(context, finding, infeasibility, predicate)
     expected_s = None
     if predicate == Predicate.FREE_CAPACITY and infeasibility.capacity_in_s != float("inf"):
@@ -72,7 +72,7 @@
 def _machine_statement(
     context: Context, finding: Finding, predicate: Predicate, machines: str
 ) -> Statement:
-    """Machines that are not what the job allows or needs."""
+    """Describes machines that do not match what the job allows or needs."""
     request = finding.request
     if predicate == Predicate.TYPE:
         allowed = ", ".join(sorted(request.types or ()))
@@ -104,7 +104,7 @@
 def _zone_statement(
     context: Context, finding: Finding, predicate: Predicate, machines: str
 ) -> Statement:
-    """Machines in zones where the job's tasks may not be."""
+    """Describes machines in zones where the job's tasks may not run."""
     request = finding.request
     if predicate == Predicate.ZONE:
         return Statement(
@@ -129,7 +129,7 @@
 
 
 def _limit_statement(context: Context, finding: Finding) -> Statement:
-    """The team's limit, and its jobs that use most of it."""
+    """Describes the team's limit, and its jobs that use most of it."""
     model, request = context.model, finding.request
     team = model.teams[request.team]
     jobs_by_use = [
@@ -150,7 +150,7 @@
 def _capacity_statement(
     context: Context, finding: Finding, infeasibility: Infeasibility
 ) -> Statement:
-    """Machines without enough free capacity, and the work that has it."""
+    """Describes machines without enough free capacity, and the tasks that use it."""
     model, request = context.model, finding.request
     count = infeasibility.counts.get(Predicate.FREE_CAPACITY, 0)
     who = [
--- a/badgerseam/explain/reasons.py
+++ b/badgerseam/explain/reasons.py
@@ -1,4 +1,7 @@
-"""Findings of a survey and stages of attempts as reasons. No rule is decided here."""
+"""Converts the findings of a survey and the stages of attempts to reasons.
+
+The scheduling rules themselves are in sched/.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,8 @@
 from badgerseam.wire.explain import Ahead, Code, Group, Reason, State
 
 
-def groups(context: Context) -> list[Group]:
-    """All tasks of a job, grouped by state and by what they wait for."""
+def group_tasks(context: Context) -> list[Group]:
+    """Returns all tasks of a job, grouped by state and by what they wait for."""
     job = context.job
     found: list[Group] = []
     waiting = job.waiting()
@@ -33,8 +36,8 @@
     return found
 
 
-def ahead(context: Context) -> Ahead | None:
-    """The jobs before this one in the plan's order; None if it is not in that order now."""
+def jobs_ahead(context: Context) -> Ahead | None:
+    """Returns the jobs before this one in the plan's order; None if it has no place in it now."""
     finding = context.survey.findings.get(context.job)
     if finding is None:
         return None
@@ -45,7 +48,7 @@
 
 
 def waiting_reasons(context: Context) -> list[Reason]:
-    """Why tasks have no machine, the binding reasons first."""
+    """Returns why tasks have no machine, the binding reasons first."""
     hold_reason = context.survey.held_back.get(context.job)
     if hold_reason is not None:
         return [held_back_reason(context, hold_reason)]
@@ -69,7 +72,7 @@
 def _infeasibility_reasons(
     context: Context, finding: Finding, infeasibility: Infeasibility
 ) -> list[Reason]:
-    """Why no machine takes the next task, and whether machines are on their way."""
+    """Returns why no machine can run the next task, and whether more machines are expected."""
     reasons: list[Reason] = []
     if not infeasibility.machines:
         reasons.append(
@@ -93,7 +96,8 @@
 
 
 def _binding_first(infeasibility: Infeasibility) -> list[Predicate]:
-    """The predicates that rule machines out: the binding ones, then the others by machines."""
+    """Returns the predicates that rule out machines: the binding ones, then the others in
+    descending order of the number of machines."""
     counts, binding = infeasibility.counts, infeasibility.binding
     others = sorted(counts, key=lambda predicate: (-counts[predicate], predicate))
     return [*binding, *(predicate for predicate in others if predicate not in binding)]
@@ -110,7 +114,7 @@
 
 
 def _is_throttled(context: Context, finding: Finding) -> bool:
-    """Whether the job's throttle holds back all tasks but those that the plan places."""
+    """Whether the job's throttle holds back all waiting tasks that the plan does not place."""
     terms = context.job.spec.terms
     return (
         terms is not None
--- a/badgerseam/explain/stages.py
+++ b/badgerseam/explain/stages.py
@@ -1,4 +1,4 @@
-"""What tasks that have a machine wait for, by the stage of their attempt."""
+"""Reasons why tasks that have a machine do not run yet, by the stage of their attempt."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from badgerseam.wire.explain import Code, Reason, State
 
 SLOW_STATE_S = 2.0
-"""Age of the lease's confirmation from which the state service is said not to answer: it is asked
-several times a second."""
-SILENT_INTERVALS = 3
-"""Heartbeat intervals without a heartbeat from which a worker is said to be silent."""
+"""Seconds without confirmation of the lease after which the state service is reported not to
+answer: requests are sent to it several times per second."""
+MAX_MISSED_HEARTBEATS = 3
+"""Heartbeat intervals without a heartbeat after which the reason is `worker_silent`."""
 
 
 class _StageStatement(NamedTuple):
-    """What attempts at one stage wait for, in words."""
+    """Describes what attempts at one stage wait for."""
 
     text: str
     change: str
-    """What has to happen for the stage to end."""
+    """What must happen for the stage to end."""
     who: list[str]
-    """The machines or tasks that it is about."""
+    """The machines or tasks that the reason is about."""
     expected_s: float | None = None
 
 
 def stage_of(context: Context, attempt: Attempt) -> tuple[State, Code | None]:
-    """The state of an attempt, and the code of what it waits for; None if it runs."""
+    """Returns the state of an attempt and the code of what it waits for, or None if it runs."""
     machine = attempt.machine
     if attempt.stopping:
         return "stopping", "stopping"
@@ -42,7 +42,7 @@
         return "running", None
     if any(other.stopping for other in machine.attempts.values()) and not attempt.sent:
         return "launching", "victims_leaving"
-    silent_after_s = SILENT_INTERVALS * context.model.settings.params.workers.report_s
+    silent_after_s = MAX_MISSED_HEARTBEATS * context.model.settings.params.workers.report_s
     if context.now - max(machine.last_heartbeat_at, machine.owned_since) > silent_after_s:
         return "launching", "worker_silent"
     if machine.push_failures > 0 or machine.missed_answers > 0:
@@ -51,7 +51,7 @@
 
 
 def stage_reason(context: Context, code: Code, attempts: list[Attempt]) -> Reason:
-    """What attempts of one job wait for that are at the same stage."""
+    """Returns what attempts of one job that are at the same stage wait for."""
     names = sorted({attempt.machine.name for attempt in attempts})
     who = names[:MAX_NAMED]
     where = f"on {', '.join(who)}{' and others' if len(names) > MAX_NAMED else ''}"
@@ -105,7 +105,7 @@
 
 
 def _victims_statement(context: Context, attempts: list[Attempt], where: str) -> _StageStatement:
-    """Of attempts that wait until the tasks stopped for them have left their machines."""
+    """Describes attempts that wait until the tasks stopped for them have left their machines."""
     others = [other for attempt in attempts for other in attempt.machine.attempts.values()]
     victims = [other for other in others if other.stopping]
     text = f"Its room {where} is being left by {pluralize(len(victims), 'task')} that were stopped"
@@ -133,7 +133,7 @@
 
 
 def _launch_statement(code: Code, where: str, who: list[str]) -> _StageStatement:
-    """Of attempts whose launch the worker has not confirmed."""
+    """Describes attempts whose launch the worker has not confirmed."""
     if code == "worker_silent":
         return _StageStatement(
             f"Placed {where}, where the worker has not been heard for a while.",
--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -1,4 +1,4 @@
-"""Supply of machines: out of use, booting, requested of the cloud, or refused by it."""
+"""The supply of machines: unusable, booting, requested from the cloud, or refused by it."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from badgerseam.wire.explain import CloudView, Reason
 
 VIEW_TTL_S = 1.0
-"""How long the leader's view of the cloud is used before it is requested again."""
+"""Seconds for which the leader's view of the cloud is used before it is requested again."""
 MAX_MACHINES_NAMED = 5
 MAX_OFFERS_NAMED = 8
 
 AskLeader = Callable[[], Awaitable[CloudView | None]]
-"""Requests the leader's view of the cloud, or None if it cannot be asked."""
+"""Requests the leader's view of the cloud; returns None if the leader cannot be asked."""
 
 OUT_OF_USE = {
     "released": "given back",
@@ -40,47 +40,48 @@
 
 
 class LeaderCloudView:
-    """The leader's view of the cloud, asked for at most once in VIEW_TTL_S for all questions."""
+    """Caches the leader's view of the cloud, so that all questions together request it at most once
+    per VIEW_TTL_S."""
 
     def __init__(self, clock: Clock, ask: AskLeader) -> None:
         self._clock = clock
         self._ask = ask
         self._view: CloudView | None = None
-        self._renewed_at = -math.inf
-        self._renewal: asyncio.Task[None] | None = None
+        self._refreshed_at = -math.inf
+        self._refresh_task: asyncio.Task[None] | None = None
 
     async def get(self) -> CloudView | None:
-        """The view, or None if the leader cannot be asked now."""
-        if self._clock.now() - self._renewed_at > VIEW_TTL_S:
-            if self._renewal is None:
-                self._renewal = asyncio.ensure_future(self._renew())
-            await asyncio.shield(self._renewal)
+        """Returns the view, or None if the leader cannot be asked now."""
+        if self._clock.now() - self._refreshed_at > VIEW_TTL_S:
+            if self._refresh_task is None:
+                self._refresh_task = asyncio.ensure_future(self._refresh())
+            await asyncio.shield(self._refresh_task)
         return self._view
 
-    async def _renew(self) -> None:
+    async def _refresh(self) -> None:
         try:
             self._view = await self._ask()
-            self._renewed_at = self._clock.now()
+            self._refreshed_at = self._clock.now()
         finally:
-            self._renewal = None
+            self._refresh_task = None
 
 
 @dataclass(slots=True)
 class Supply:
-    """A shard's machines that take no tasks now, and those on their way to it."""
+    """A shard's machines that currently accept no tasks, and those expected to join it."""
 
     out_of_use: dict[str, list[Machine]] = field(default_factory=dict)
     """By the reason, a key of OUT_OF_USE."""
     booting: list[tuple[MachineSnapshot, float]] = field(default_factory=list)
-    """Machines that are not up, as a plan would see them, and in how many seconds they should
-    be."""
+    """Machines that are still booting, as snapshots for a plan, and the seconds until they should
+    be up."""
     rentals: list[MachineSnapshot] = field(default_factory=list)
-    """Machines requested of the cloud, without an answer yet."""
+    """Machines requested from the cloud, without an answer yet."""
     cloud: CloudView | None = None
 
 
 def supply_of(model: Model, planner: Planner, shard: Shard, cloud: CloudView | None) -> Supply:
-    """The supply of a shard; callers hold the model's lock."""
+    """Returns the supply of a shard; callers hold the model's lock."""
     result = Supply(cloud=cloud)
     now, wall = model.clock.now(), model.clock.wall()
     for machine in model.shard_machines[shard.index].values():
@@ -95,15 +96,15 @@
     for rental, _ in model.rentals.values():
         offer = Offer(rental.type, rental.zone, rental.spot)
         for _ in range(rental.shards.count(shard.index)):
-            node = offered_machine(model.types, offer, -1)
-            if node is not None:
-                result.rentals.append(node)
+            snapshot = offered_machine(model.types, offer, -1)
+            if snapshot is not None:
+                result.rentals.append(snapshot)
     return result
 
 
 def _booting(model: Model, machine: Machine, wall: float) -> tuple[MachineSnapshot, float] | None:
-    """A machine that is still within its boot time, as a plan would see it, and in how many
-    seconds it should be up; None of one that is not booting."""
+    """Returns a machine within its boot time, as a snapshot for a plan, and the seconds until it
+    should be up; None if the machine is not booting."""
     machine_type = model.types.get(machine.type)
     if machine.attempts or machine_type is None:
         return None
@@ -111,14 +112,14 @@
     if left_s <= 0:
         return None
     offer = Offer(machine.type, machine.zone, machine.spot)
-    node = offered_machine(model.types, offer, machine.index)
-    return None if node is None else (node, left_s)
+    snapshot = offered_machine(model.types, offer, machine.index)
+    return None if snapshot is None else (snapshot, left_s)
 
 
 def supply_reasons(model: Model, supply: Supply, request: Request) -> list[Reason]:
-    """The reasons about machines that could serve a request and are not there, or not in use."""
+    """Returns the reasons about machines that could run a request's tasks but are not available."""
     reasons: list[Reason] = []
-    useful = [left for node, left in supply.booting if _serves(request, node)]
+    useful = [left_s for snapshot, left_s in supply.booting if _serves(request, snapshot)]
     if useful:
         reasons.append(
             Reason(
@@ -129,7 +130,7 @@
                 expected_s=round(min(useful), 1),
             )
         )
-    requested = sum(_serves(request, node) for node in supply.rentals)
+    requested = sum(_serves(request, snapshot) for snapshot in supply.rentals)
     if requested:
         reasons.append(
             Reason(
@@ -166,13 +167,13 @@
     ]
 
 
-def _serves(request: Request, node: MachineSnapshot) -> bool:
-    """Whether an empty machine would take a task of the request."""
-    return request.demand.fits_in(node.total) and not failed_job_predicates(request, node)
+def _serves(request: Request, snapshot: MachineSnapshot) -> bool:
+    """Whether a task of the request can run on the machine when it is empty."""
+    return request.demand.fits_in(snapshot.total) and not failed_job_predicates(request, snapshot)
 
 
 def _cloud_reasons(model: Model, view: CloudView | None, request: Request) -> list[Reason]:
-    """Why no more machines can be rented, or that this is not known."""
+    """Returns why no more machines can be rented, or the reason that this is not known."""
     if view is None:
         return [
             Reason(
@@ -194,13 +195,13 @@
 
 
 def _capacity_reasons(model: Model, view: CloudView, request: Request) -> list[Reason]:
-    """The reason of a cloud that refuses all offers which could take the tasks."""
+    """Returns a reason if the cloud refuses all machine offers that could run the tasks."""
     blocked = {Offer(entry.type, entry.zone, entry.spot): entry.again_s for entry in view.blocked}
     offers = [option.offer for option in rental_options(model.types, set())]
     useful = []
     for offer in offers:
-        node = offered_machine(model.types, offer, -1)
-        if node is not None and _serves(request, node):
+        snapshot = offered_machine(model.types, offer, -1)
+        if snapshot is not None and _serves(request, snapshot):
             useful.append(offer)
     refused = [offer for offer in useful if offer in blocked]
     if not useful or len(refused) < len(useful):
--- a/badgerseam/explain/surveys.py
+++ b/badgerseam/explain/surveys.py
@@ -1,8 +1,8 @@
-"""Surveys of a shard on demand: questions are batched, and one walk answers all of a batch.
+"""Surveys of a shard on demand: questions are batched, and one pass answers a whole batch.
 
-A walk costs as much as a plan. Its processor time is charged to a budget, so that no number of
-questions takes more than a set part of it from leases and plans, and it is done in slices with the
-event loop free in between.
+A pass takes as much processor time as a plan. This time is charged to a budget, so that questions
+take at most a configured fraction of it away from lease renewals and plans. The pass is split into
+slices, between which it yields to the event loop.
 """
 
 from __future__ import annotations
@@ -26,34 +26,35 @@
 from badgerseam.wire.explain import CloudView
 
 SURVEY_TIMEOUT_S = 0.3
-"""Longest wait for the budget of processor time; rather than wait longer, an earlier survey is
-used."""
+"""Longest wait in seconds for the budget of processor time, after which an earlier survey is used
+instead."""
 BUDGET_BURST_S = 2.0
+"""Seconds of the rate of processor time that can be used at once."""
 MAX_RECENT_SURVEYS = 3
-"""Surveys of each shard that are kept for questions while the budget is used up."""
+"""Surveys kept per shard to answer questions while the budget is used up."""
 
 
 class NotOwnerError(BadgerseamError):
-    """This controller does not plan for the shard, or cannot vouch for its answers now."""
+    """This controller does not plan for the shard, or cannot be sure that it still does."""
 
 
 @dataclass(slots=True)
 class Survey:
-    """What one walk found."""
+    """The result of one pass."""
 
     at: float
-    """When its snapshot was taken, by the clock of the process."""
+    """Time at which the snapshot was taken, by the clock of the process."""
     revision: int
     """The model's revision at that time."""
     findings: dict[Job, Finding]
     held_back: dict[Job, str]
-    """Jobs with waiting tasks that the plan leaves out now, and why."""
+    """Jobs with waiting tasks that plans currently leave out, and why."""
     supply: Supply = field(default_factory=Supply)
-    """The machines that are on their way to the shard."""
+    """The shard's machines that are unusable or not available yet."""
 
 
 class _TermSurvey(NamedTuple):
-    """A survey, and the term of the shard's owner in which it was made."""
+    """A survey, and the ownership term of the shard in which it was made."""
 
     term: int
     survey: Survey
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True)
 class _QuestionBatch:
-    """The questions that the next walk answers."""
+    """The questions that the next pass answers."""
 
     jobs: set[Job] = field(default_factory=set)
     future: asyncio.Future[Survey] = field(
@@ -70,7 +71,7 @@
 
 
 class Surveys:
-    """Batches the questions about each shard into walks."""
+    """Batches the questions about each shard and answers each batch in one pass."""
 
     def __init__(
         self,
@@ -90,22 +91,22 @@
         self._recent: dict[int, deque[_TermSurvey]] = {}
         """The latest surveys of each shard, the newest first."""
         self._budget = RateBudget(
-            model.clock, processor_fraction, BUDGET_BURST_S, least_burst=slice_s
+            model.clock, processor_fraction, BUDGET_BURST_S, min_burst=slice_s
         )
-        """Seconds of processor time."""
+        """Budget of processor time, in seconds."""
         self._batches: dict[int, _QuestionBatch] = {}
         self._tasks = BackgroundTasks()
-        self.walks = 0
+        self.passes = 0
         self.longest_slice_s = 0.0
-        """The longest time for which a walk has held the event loop."""
+        """The longest time in seconds for which a pass has blocked the event loop."""
 
     async def ask(self, shard: Shard, jobs: set[Job]) -> Survey:
-        """A survey of jobs of one shard that began after the question.
+        """Returns a survey of jobs of one shard that was started after the question.
 
-        Raises NotOwnerError if the shard was given up meanwhile.
+        Raises NotOwnerError if this controller stops owning the shard meanwhile.
 
-        While the budget is used up, by a list of all jobs perhaps, an earlier survey that
-        covers them serves if it is no older than `max_age_s`: answers tell their age.
+        While the budget is used up, for example by a list of all jobs, an earlier survey that
+        covers the jobs is returned if it is no older than `max_age_s`; answers contain their age.
         """
         if self._budget.wait_s(0.0) > SURVEY_TIMEOUT_S:
             earlier = self._recent_survey(shard, jobs)
@@ -116,11 +117,11 @@
             batch = self._batches[shard.index] = _QuestionBatch()
             self._tasks.spawn(self._run(shard, batch))
         batch.jobs |= jobs
-        # Whoever gives up waiting must not take the answer from the others.
+        # The cancellation of one caller must not cancel the survey for the others.
         return await asyncio.shield(batch.future)
 
     def _recent_survey(self, shard: Shard, jobs: set[Job]) -> Survey | None:
-        """The newest survey of this term that covers the jobs and is not too old."""
+        """Returns the newest survey of this term that covers the jobs and is not too old."""
         now = self._clock.now()
         for term, recent in self._recent.get(shard.index, ()):
             is_covered = all(job in recent.findings or job in recent.held_back for job in jobs)
@@ -129,26 +130,26 @@
         return None
 
     async def _run(self, shard: Shard, batch: _QuestionBatch) -> None:
-        """Answer a batch as soon as the budget allows a walk."""
+        """Answers a batch as soon as the budget allows a pass."""
         await asyncio.sleep(0)
         cloud = await self._cloud.get()
         wait_s = self._budget.wait_s(0.0)
         while wait_s > 0:
             await asyncio.sleep(wait_s)
             wait_s = self._budget.wait_s(0.0)
-        # From here on questions go into the next walk: this one's snapshot would be too old.
+        # Later questions are left to the next pass: this one's snapshot is too old for them.
         del self._batches[shard.index]
         try:
-            result = await self._walk(shard, batch.jobs, cloud)
+            result = await self._run_pass(shard, batch.jobs, cloud)
         except Exception as error:
             batch.future.set_exception(error)
-            # Nobody may be waiting any more.
+            # Mark the error as retrieved: if all callers have been cancelled, asyncio would log it.
             batch.future.exception()
         else:
             batch.future.set_result(result)
 
-    async def _walk(self, shard: Shard, jobs: set[Job], cloud: CloudView | None) -> Survey:
-        """Take a snapshot of the shard and walk through it as a plan does, in slices."""
+    async def _run_pass(self, shard: Shard, jobs: set[Job], cloud: CloudView | None) -> Survey:
+        """Takes a snapshot of the shard and evaluates it in slices, in the order of a plan."""
         model, planner = self._model, self._planner
         slice_start = time.perf_counter()
         with model.lock:
@@ -161,7 +162,7 @@
             result = Survey(now, model.revision, {}, {})
             result.supply = supply_of(model, planner, shard, cloud)
             result.held_back = self._held_back(jobs, now)
-        self.walks += 1
+        self.passes += 1
         self._charge(time.perf_counter() - slice_start)
         await asyncio.sleep(0)
         await self._collect_findings(result, snapshot, jobs)
@@ -172,7 +173,7 @@
         return result
 
     def _held_back(self, jobs: set[Job], now: float) -> dict[Job, str]:
-        """The jobs with waiting tasks that the plan leaves out, and why."""
+        """Returns the jobs with waiting tasks that plans leave out, and why."""
         held_back: dict[Job, str] = {}
         for job in jobs:
             if job.waiting() > 0:
@@ -182,7 +183,7 @@
         return held_back
 
     async def _collect_findings(self, result: Survey, snapshot: Snapshot, jobs: set[Job]) -> None:
-        """Walk through a snapshot, and let go of the event loop after each slice."""
+        """Collects the findings for a snapshot, and yields to the event loop after each slice."""
         jobs_by_index = {job.index: job for job in jobs}
         slice_start = time.perf_counter()
         for finding in survey(snapshot, set(jobs_by_index)):
@@ -196,6 +197,6 @@
         self._charge(time.perf_counter() - slice_start)
 
     def _charge(self, seconds: float) -> None:
-        """Charge the processor time of one slice."""
+        """Charges the processor time of one slice to the budget."""
         self._budget.charge(seconds)
         self.longest_slice_s = max(self.longest_slice_s, seconds)
--- a/badgerseam/http/__init__.py
+++ b/badgerseam/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP server and the pooled client, both tornado's."""
+"""An HTTP server and a client with a connection pool, both built on tornado."""
--- a/badgerseam/http/client.py
+++ b/badgerseam/http/client.py
@@ -1,7 +1,7 @@
-"""A pooled keep-alive client on tornado's HTTP1Connection.
+"""An HTTP client with a pool of keep-alive connections, built on tornado's HTTP1Connection.
 
-tornado's simple client opens a connection for each request; on half a core that costs more than
-the requests do, so the connections are kept here.
+tornado's SimpleAsyncHTTPClient opens a connection for each request, which costs more than the
+request itself on half a CPU core, so this client reuses connections.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
 
 
 class NoResponseError(BadgerseamError):
-    """Nothing is known: the request may have been executed, or may be executed later."""
+    """No response arrived: the request may have been executed, or may be executed later."""
 
 
 class NotSentError(NoResponseError):
-    """The connection could not be made, so the request was never sent."""
+    """The connection could not be established, so the request was never sent."""
 
 
 class ConnectionRefusedByPeerError(NotSentError):
-    """The connection was refused: the machine is reachable, and no process listens there."""
+    """The connection was refused: the machine is reachable, but no process listens on the port."""
 
 
 class ConnectionResetByPeerError(NoResponseError):
-    """The other end closed the connection before it answered."""
+    """The peer closed the connection before it sent a response."""
 
 
 class Response:
-    """The answer to a request."""
+    """The response to a request."""
 
     __slots__ = ("body", "retry_after", "status")
 
@@ -51,7 +51,7 @@
         self.retry_after = retry_after
 
 
-class _Collector(HTTPMessageDelegate):
+class _ResponseCollector(HTTPMessageDelegate):
     """Collects the parts of a response."""
 
     def __init__(self) -> None:
@@ -74,11 +74,11 @@
 
 
 class HttpClient:
-    """Requests to any number of addresses over kept connections.
+    """Sends requests to any number of addresses and reuses the connections.
 
-    The last controller of a site has the heartbeats of all workers and the users on its sockets, so
-    idle connections are limited: at most `max_idle` of them, a number or a function that returns
-    the present limit, are kept altogether, the most recently used ones.
+    The last controller left at a site needs its sockets for the heartbeats of all workers and for
+    all users, so idle connections are limited. At most `max_idle` of them, a number or a function
+    that returns the current limit, are kept over all addresses: the most recently used ones.
     """
 
     def __init__(self, connect_s: float = 1.5, max_idle: int | Callable[[], int] = 64) -> None:
@@ -91,15 +91,15 @@
     async def request(
         self, address: str, method: str, path: str, body: bytes | None, deadline_s: float
     ) -> Response:
-        """Send one request, and return the response.
+        """Sends one request and returns the response.
 
-        Raises NoResponseError, or one of its subclasses, if none came within deadline_s.
+        Raises NoResponseError, or one of its subclasses, if none arrives within deadline_s.
         """
         stream: IOStream | None = None
         try:
             async with asyncio.timeout(deadline_s):
-                stream = await self._stream(address, deadline_s)
-                collector = _Collector()
+                stream = await self._acquire_stream(address, deadline_s)
+                collector = _ResponseCollector()
                 connection = HTTP1Connection(stream, True, _PARAMS)
                 _write_request(connection, address, method, path, body)
                 await connection.read_response(collector)
@@ -119,41 +119,43 @@
         if collector.status == 0:
             stream.close()
             self._close_idle(address)
-            raise ConnectionResetByPeerError(f"{address}{path}: closed before a response")
+            raise ConnectionResetByPeerError(
+                f"{address}{path}: connection closed before a response"
+            )
         if not stream.closed():
-            self._return_stream(address, stream)
+            self._return_to_pool(address, stream)
         return Response(collector.status, b"".join(collector.chunks), collector.retry_after)
 
-    def _return_stream(self, address: str, stream: IOStream) -> None:
-        """Keep a connection for the next request; close the oldest ones over the limit."""
+    def _return_to_pool(self, address: str, stream: IOStream) -> None:
+        """Keeps a connection for reuse; closes the least recently used ones over the limit."""
         self._idle[stream] = address
         self._by_address.setdefault(address, []).append(stream)
         max_idle = self._max_idle()
         while len(self._idle) > max_idle:
             oldest = next(iter(self._idle))
-            self._take_stream(oldest)
+            self._remove_from_pool(oldest)
             oldest.close()
 
     def _close_idle(self, address: str) -> None:
-        """Close the idle connections to an address where one has failed: after a partition all of
-        them are dead, and each would cost a request the whole of its deadline."""
+        """Closes the idle connections to an address after a request to it has failed: after a
+        network partition all of them are broken, and each would use up a request's deadline."""
         for stream in list(self._by_address.get(address, ())):
-            self._take_stream(stream)
+            self._remove_from_pool(stream)
             stream.close()
 
-    def _take_stream(self, stream: IOStream) -> None:
-        """Remove a connection from the idle ones."""
+    def _remove_from_pool(self, stream: IOStream) -> None:
+        """Removes a connection from the idle ones."""
         address = self._idle.pop(stream)
         pool = self._by_address[address]
         pool.remove(stream)
         if not pool:
             del self._by_address[address]
 
-    async def _stream(self, address: str, deadline_s: float) -> IOStream:
-        """An idle connection to the address, or a new one."""
+    async def _acquire_stream(self, address: str, deadline_s: float) -> IOStream:
+        """Returns an idle connection to the address, or a new one."""
         while pool := self._by_address.get(address):
             idle = pool[-1]
-            self._take_stream(idle)
+            self._remove_from_pool(idle)
             if not idle.closed():
                 return idle
         host, _, port = address.rpartition(":")
@@ -170,21 +172,21 @@
     if body is not None:
         headers["Content-Length"] = str(len(body))
         headers["Content-Type"] = "application/json"
-    # write_headers returns a future that fails when the stream closes; reading the response
-    # reports that as well.
+    # write_headers returns a future that fails when the stream closes; read_response reports the
+    # same failure.
     written = connection.write_headers(RequestStartLine(method, path, "HTTP/1.1"), headers, body)
-    written.add_done_callback(_observe)
+    written.add_done_callback(_ignore_error)
     connection.finish()
 
 
 def _connect_error(address: str, error: Exception) -> NotSentError:
-    """The error of a request whose connection could not be made."""
+    """Returns the error for a request whose connection could not be established."""
     reason = error.real_error if isinstance(error, StreamClosedError) else error
     is_refused = isinstance(reason, ConnectionRefusedError)
     return (ConnectionRefusedByPeerError if is_refused else NotSentError)(f"{address}: {error!r}")
 
 
-def _observe(future: asyncio.Future[None]) -> None:
-    """Retrieve the error of a write, which reading the response reports."""
+def _ignore_error(future: asyncio.Future[None]) -> None:
+    """Retrieves the error of a write, so that asyncio does not log it; read_response reports it."""
     if not future.cancelled():
         future.exception()
--- a/badgerseam/http/network.py
+++ b/badgerseam/http/network.py
@@ -1,4 +1,4 @@
-"""The factory of HTTP clients and servers, injected like the clock so that tests replace it."""
+"""A factory of HTTP clients and servers, injected like the clock so that tests can replace it."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Network:
-    """Clients and servers over TCP sockets."""
+    """Creates HTTP clients and servers that use TCP sockets."""
 
     def client(self, connect_s: float = 1.5, max_idle: int | Callable[[], int] = 64) -> HttpClient:
-        """A client with a time limit for connecting, and a limit of idle connections."""
+        """Returns a client with a connection timeout in seconds and a limit on idle connections."""
         return HttpClient(connect_s, max_idle)
 
     def server(self, handler: Handler) -> HttpServer:
-        """A server of one handler; it does not listen yet."""
+        """Returns a server with one handler; it does not listen yet."""
         return HttpServer(handler)
 
 
--- a/badgerseam/http/server.py
+++ b/badgerseam/http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: tornado's, with one handler a listening address."""
+"""An HTTP server built on tornado, with one handler per listening address."""
 
 from __future__ import annotations
 
@@ -18,20 +18,21 @@
 log = logging.getLogger("badgerseam.http")
 
 MAX_BODY_BYTES = 64 * 1024
-"""The protocols' limit. Larger bodies are read up to MAX_DISCARDED_BODY_BYTES, so that they are
-refused with an answer."""
+"""The protocols' limit. Larger bodies are read, up to MAX_DISCARDED_BODY_BYTES, so that the client
+gets an error response."""
 MAX_DISCARDED_BODY_BYTES = 1024 * 1024
 MAX_HEADER_BYTES = 16384
 BODY_TIMEOUT_S = 10.0
 LISTEN_BACKLOG = 512
 IDLE_TIMEOUT_S = 20.0
-"""Workers report and users poll every few seconds. Peers that were cut off, or ended, leave their
-connections open without closing them, and sockets are few."""
+"""Seconds after which an idle connection is closed. Workers send heartbeats and users poll every
+few seconds. Peers behind a network partition, or that have stopped, do not close their connections,
+and the number of sockets is limited."""
 
 
 @dataclass(slots=True)
 class Reply:
-    """The answer to one request; the body is JSON unless the content type says otherwise."""
+    """The response to one request; the body is JSON unless the content type says otherwise."""
 
     status: int
     body: bytes = b"{}"
@@ -43,12 +44,12 @@
 
 
 def error_reply(status: int, text: str, retry_after_s: int | None = None) -> Reply:
-    """A reply whose body says what was wrong; text must need no escaping."""
+    """Returns a reply whose JSON body contains the error; `text` must need no escaping."""
     return Reply(status, b'{"error":"%s"}' % text.encode(), retry_after_s)
 
 
 class _CountingServer(HTTPServer):
-    """Counts its open connections."""
+    """A tornado server that counts its open connections."""
 
     def initialize(self, *args: Any, **kwargs: Any) -> None:
         super().initialize(*args, **kwargs)
@@ -64,7 +65,7 @@
 
 
 class HttpServer:
-    """Serves one address with one handler of (method, path with its query, body)."""
+    """Serves one address with one handler, called with the method, path and query, and body."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
@@ -79,26 +80,26 @@
         )
 
     def listen(self, address: str) -> None:
-        """Listen at `host:port`."""
+        """Listens at `host:port`."""
         host, _, port = address.rpartition(":")
         self._server.listen(int(port), host, backlog=LISTEN_BACKLOG)
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         return self._server.open_connections
 
     @property
     def open_requests(self) -> int:
-        """How many requests are waiting for their answer."""
+        """The number of requests whose handler has not finished."""
         return len(self._tasks)
 
     def stop(self) -> None:
-        """Accept no more connections; open ones are served on."""
+        """Stops accepting connections; open ones are still served."""
         self._server.stop()
 
     def _request(self, request: HTTPServerRequest) -> None:
-        """Answer a request at once, or in a task of its own if its handler has to wait."""
+        """Sends the reply at once, or in a separate task if the handler returns an awaitable."""
         if len(request.body) > MAX_BODY_BYTES:
             self._send(request, error_reply(400, "body over 64 KiB"))
             return
@@ -131,13 +132,14 @@
             headers["Retry-After"] = str(reply.retry_after_s)
         line = ResponseStartLine("HTTP/1.1", reply.status, responses.get(reply.status, "Unknown"))
         try:
-            connection.write_headers(line, headers, reply.body).add_done_callback(_observe)
+            connection.write_headers(line, headers, reply.body).add_done_callback(_ignore_error)
             connection.finish()
         except (StreamClosedError, OSError):
             log.debug("reply dropped method=%s path=%s", request.method, request.path)
 
 
-def _observe(future: asyncio.Future[None]) -> None:
-    """Retrieve the error of a write, which the closed connection has shown already."""
+def _ignore_error(future: asyncio.Future[None]) -> None:
+    """Retrieves the error of a write, so that asyncio does not log it: the client has
+    disconnected."""
     if not future.cancelled():
         future.exception()
