--- a/badgerseam/http/budget.py
+++ b/badgerseam/http/budget.py
@@ -41,7 +41,7 @@
     def take(self, amount: float = 1.0, reserve: float = 0.0) -> bool:
         """Uses an amount if that leaves the reserve, and returns whether it did.
 
-        An amount above the burst is allowed once the budget is full, and overdraws it.
+        Only an amount above the burst overdraws the budget: it is allowed once the budget is full.
         """
         if self.available() < min(amount, self.burst) + reserve:
             return False
