--- a/badgerseam/api/classes.py
+++ b/badgerseam/api/classes.py
@@ -18,7 +18,7 @@
 
 
 class ClassesApi:
-    """Answers `/classes`."""
+    """Answers requests for `/classes`."""
 
     def __init__(self, model: Model, record_keeper: ClassRecordKeeper, rules: ClassRules) -> None:
         self._model = model
--- a/badgerseam/api/explain.py
+++ b/badgerseam/api/explain.py
@@ -40,7 +40,8 @@
         self._rate = RateBudget(model.clock, options.questions_per_s, RATE_BURST_S)
 
     def rate_limit_reply(self, questions: float = 1.0) -> Reply | None:
-        """Returns an error if so many questions exceed the rate; otherwise counts them."""
+        """Returns an error reply if so many questions would exceed the rate; otherwise counts them
+        and returns None."""
         if self._rate.take(questions):
             return None
         wait_s = max(1, math.ceil(self._rate.wait_s(questions)))
--- a/badgerseam/api/submissions.py
+++ b/badgerseam/api/submissions.py
@@ -138,8 +138,8 @@
         return await self._answer_repeated(spec)
 
     async def _terms_refusal(self, spec: wire.Submission, reason: str | None) -> str | None:
-        """Returns why a new job with terms cannot be accepted, or None. `reason` is the result of
-        the checks before that of its terms."""
+        """Returns why a new job with terms cannot be accepted, or None. `reason` is what the
+        checks before that of the terms returned."""
         if self._batch is None:
             # If the terms were ignored, the job could run despite a hold or a dependency.
             return "terms: this site does not keep them (section batch of the options)"
@@ -242,8 +242,8 @@
                         # as a confirmation.
                         return wire.JobStatus(job_id, "pending", 0, 0)
                 continue
-            # Another controller may have told the user that the job has ended, before this replica
-            # shows it.
+            # Another controller may have told the user that the job has ended before this replica
+            # has received the change.
             if not await self._confirmations.unchanged(job_key(job_id), version):
                 await self._ledger.read(job_id, RESERVED_FRACTION)
             elif job_id not in model.ended:
--- a/badgerseam/explain/__init__.py
+++ b/badgerseam/explain/__init__.py
@@ -1,3 +1,3 @@
-"""Explains why jobs wait. Any controller takes questions; the controller that plans for the job
+"""Explains why jobs wait. Any controller accepts questions; the controller that plans for the job
 answers them.
 """
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -92,7 +92,8 @@
             return [self._answer(shard, job, survey) for job in jobs]
 
     async def answer_peer(self, shard_index: int, ids: list[str]) -> list[Explanation] | None:
-        """Returns the answers for a peer, or None where `answer_locally` raises NotOwnerError."""
+        """Returns the answers to a peer's question, or None if `answer_locally` raises
+        NotOwnerError."""
         try:
             return await self.answer_locally(shard_index, ids)
         except NotOwnerError:
--- a/badgerseam/explain/held_back.py
+++ b/badgerseam/explain/held_back.py
@@ -107,9 +107,9 @@
             "The dependency is changed, or the job is cancelled.",
             who,
         )
-    some = "one" if terms.any else "all"
+    required = "one" if terms.any else "all"
     return _TermStatement(
-        f"{len(unmet)} of its {len(terms.depends)} dependencies are not met; {some} must be.",
+        f"{len(unmet)} of its {len(terms.depends)} dependencies are not met; {required} must be.",
         "The jobs end as the dependencies want it.",
         who,
     )
--- a/badgerseam/explain/reasons.py
+++ b/badgerseam/explain/reasons.py
@@ -37,7 +37,7 @@
 
 
 def jobs_ahead(context: Context) -> Ahead | None:
-    """Returns the jobs before this one in the plan's order; None if it has no place in it now."""
+    """Returns the jobs before this one in the plan's order, or None if it is not in it."""
     finding = context.survey.findings.get(context.job)
     if finding is None:
         return None
--- a/badgerseam/explain/stages.py
+++ b/badgerseam/explain/stages.py
@@ -13,7 +13,7 @@
 """Seconds without confirmation of the lease after which the state service is reported not to
 answer: requests are sent to it several times per second."""
 MAX_MISSED_HEARTBEATS = 3
-"""Heartbeat intervals without a heartbeat after which the reason is `worker_silent`."""
+"""Number of heartbeat intervals without a heartbeat after which the reason is `worker_silent`."""
 
 
 class _StageStatement(NamedTuple):
--- a/badgerseam/explain/supply.py
+++ b/badgerseam/explain/supply.py
@@ -37,6 +37,7 @@
     "deaf": "hearing no answer to its reports",
     "unknown_type": "of a type that the cloud does not list",
 }
+"""Texts for users, by the reason that `Planner.unusable_reason` returns."""
 
 
 class LeaderCloudView:
--- a/badgerseam/explain/surveys.py
+++ b/badgerseam/explain/surveys.py
@@ -26,8 +26,8 @@
 from badgerseam.wire.explain import CloudView
 
 SURVEY_TIMEOUT_S = 0.3
-"""Longest wait in seconds for the budget of processor time, after which an earlier survey is used
-instead."""
+"""If the budget of processor time would not allow a pass within this many seconds, an earlier
+survey is used instead."""
 BUDGET_BURST_S = 2.0
 """Seconds of the rate of processor time that can be used at once."""
 MAX_RECENT_SURVEYS = 3
--- a/badgerseam/http/budget.py
+++ b/badgerseam/http/budget.py
@@ -1,4 +1,4 @@
-"""Rate budgets, such as the part of a limit that several controllers share."""
+"""Rate budgets, such as the part of one controller in a limit for all controllers together."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         return self._tokens
 
     def take(self, amount: float = 1.0, reserve: float = 0.0) -> bool:
-        """Uses an amount if that leaves the reserve, and returns whether it did.
+        """Uses an amount if that leaves at least the reserve; returns whether the amount was used.
 
         Only an amount above the burst overdraws the budget: it is allowed once the budget is full.
         """
@@ -55,7 +55,8 @@
         return max(0.0, missing / self.per_s)
 
     def charge(self, amount: float) -> None:
-        """Uses an amount that is known only afterwards; an overdraft must be refilled first."""
+        """Uses an amount that is known only after the fact. The budget can be used again when an
+        overdraft has been refilled."""
         self.available()
         self._tokens -= amount
 
