--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -94,7 +94,7 @@
         self.settings = settings
         self.tunables = tunables
         self._network = network
-        self._http = network.client(keep=self._idle_connection_limit)
+        self._http = network.client(max_idle=self._idle_connection_limit)
         self._servers: list[HttpServer] = []
         self.model = Model(settings, clock)
         self.state = self._create_state_client(random)
@@ -137,8 +137,8 @@
             group.create_task(self.peers.run_health_checks())
             if self.standby is not None:
                 group.create_task(self.standby.run())
-            if self.explainer is not None and self.explainer.samples:
-                group.create_task(self.explainer.keep_samples())
+            if self.explainer is not None and self.explainer.has_survey_interval:
+                group.create_task(self.explainer.run_periodic_surveys())
             if self.rollout is not None:
                 group.create_task(self.rollout.migration.run())
             if self.runs is not None:
@@ -335,7 +335,7 @@
             self.peers.ask_owner,
             self.peers.ask_leader,
         )
-        self.peers.answer_questions_with(explainer.for_peer, self._cloud_view)
+        self.peers.answer_questions_with(explainer.answer_peer, self._cloud_view)
         return explainer
 
     def _create_explain_api(self) -> ExplainApi | None:
