--- a/badgerseam/levels/__init__.py
+++ b/badgerseam/levels/__init__.py
@@ -1,1 +1,1 @@
-"""Levels of the stored state, and which of them a program supports."""
+"""Levels (versions) of the stored state's format, and the levels that a program supports."""
--- a/badgerseam/rollout/__init__.py
+++ b/badgerseam/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rollouts: the site's level, handover, migration of records, and rolling updates."""
+"""Rollouts: level changes, handover, record migration, and rolling updates."""
--- a/badgerseam/rollout/handover.py
+++ b/badgerseam/rollout/handover.py
@@ -1,10 +1,10 @@
-"""Handover: a controller that drains passes its shards and the leadership to its peers one by one.
+"""Handover: a draining controller transfers its shards and the leadership to its peers one by one.
 
-A claim passes in one transaction that the successor makes on the version of the draining
-controller's claim, so that it has an owner at every revision. The draining controller acts until
-its state watcher shows the new owner, which is the same moment at which an owner that was cut off
-would learn of it; its writes that arrive later are fenced as that owner's are (docs/design.md,
-points 3, 5 and 6).
+The successor takes each claim over in a single transaction that is conditional on the version of
+the draining controller's claim, so the claim has an owner at every revision. The draining
+controller keeps acting until its state watcher shows the new owner, as an owner does that was
+partitioned from the state service; its writes that arrive later are fenced in the same way
+(docs/design.md, points 3, 5 and 6).
 """
 
 from __future__ import annotations
@@ -23,18 +23,20 @@
 log = logging.getLogger("badgerseam.rollout")
 
 TAKEOVER_VISIBLE_S = 1.0
-"""How long a takeover that a peer reports may stay invisible before it is requested again."""
-POLL_S = 0.005
-ANNOUNCE_RETRY_S = 0.1
-USER_DRAIN_S = 6.0
-"""A load balancer that probes once a second needs two failures to lead users elsewhere, and resets
-connections to a node that has been unhealthy for some seconds: until then users are served."""
+"""Seconds to wait until the state watcher shows a takeover that a peer has reported; after that it
+is requested again."""
+POLL_INTERVAL_S = 0.005
+ANNOUNCE_RETRY_DELAY_S = 0.1
+USER_REROUTE_S = 6.0
+"""Seconds for which a drained controller still serves users. A load balancer that probes once a
+second needs two failures to route users elsewhere, and resets the connections to a node that has
+been unhealthy for some seconds."""
 NEVER = -1e9
-"""A time before every other one."""
+"""A time earlier than every time of the clock."""
 
 
 class Handover:
-    """Drains this controller, and lets it take part again, when operators request it."""
+    """Drains this controller, and lets it claim shards again, when operators request it."""
 
     def __init__(
         self,
@@ -43,54 +45,64 @@
         request_takeover: RequestTakeover,
         open_requests: Callable[[], int],
     ) -> None:
-        """`request_takeover`: asks a peer to take a claim over; `open_requests`: how many users'
-        requests are open."""
+        """Initializes the handover of a controller.
+
+        `request_takeover` asks a peer to take over a claim; `open_requests` returns the number of
+        user requests in progress.
+        """
         self._model = model
         self._member = member
         self._request_takeover = request_takeover
         self._open_requests = open_requests
         self._clock = model.clock
         self._drained_at: float | None = None
-        self._began_at = NEVER
+        self._drain_started_at = NEVER
         self._task: asyncio.Task[None] | None = None
         self._tasks = BackgroundTasks()
 
     @property
     def is_draining(self) -> bool:
-        """Whether the controller was asked to drain, and not to resume since."""
+        """Whether the controller was asked to drain and has not been asked to resume since."""
         return self._member.is_unavailable(UnavailableReason.DRAINING)
 
     @property
     def is_drained(self) -> bool:
-        """Whether no claim is owned any more."""
+        """Whether the drain has completed and the controller still owns no claim."""
         return self._drained_at is not None and not self._owned_claims()
 
     @property
     def may_stop(self) -> bool:
-        """Whether no claim is owned, and no user waits for a response or would be led here."""
+        """Whether the process may be ended.
+
+        It may once it owns no claim, no user request is in progress, and load balancers have had
+        time to route users elsewhere.
+        """
         drained_at = self._drained_at
         return (
             drained_at is not None
             and self.is_drained
-            and self._clock.now() - drained_at >= USER_DRAIN_S
+            and self._clock.now() - drained_at >= USER_REROUTE_S
             and self._open_requests() == 0
         )
 
     def drain(self) -> str | None:
-        """Begin to drain, if that was not requested before; why it is refused, or None."""
+        """Starts to drain unless a drain was requested before.
+
+        Returns the reason if the drain is refused, otherwise None.
+        """
         if self.is_draining:
             return None
         if not self._member.takeover_candidates():
             return "no other controller would take its shares"
         log.info("drain requested")
         self._drained_at = None
-        self._began_at = self._clock.now()
+        self._drain_started_at = self._clock.now()
         self._member.mark_unavailable(UnavailableReason.DRAINING)
         self._task = self._tasks.spawn(self._drain())
         return None
 
     def resume(self) -> None:
-        """End a drain: the controller takes shards over as before."""
+        """Ends a drain: the controller claims shards again."""
         if self._task is not None:
             self._task.cancel()
         self._drained_at = None
@@ -98,7 +110,7 @@
         log.info("resume requested")
 
     def _owned_claims(self) -> list[tuple[str, int]]:
-        """The keys of this controller's claims and their versions.
+        """Returns the keys and versions of this controller's claims.
 
         The leadership comes last, since the leader moves machines between shards.
         """
@@ -114,7 +126,8 @@
         return claims
 
     async def _drain(self) -> None:
-        # Announced to the peers first: they would pass shards to this controller, or leave them.
+        # The drain is announced first: until then, peers may hand shards over to this controller,
+        # or leave shards for it to claim.
         await self._announce()
         while True:
             with self._model.lock:
@@ -127,15 +140,15 @@
         log.info("drain complete")
 
     async def _announce(self) -> None:
-        """Announce the drain to the peers, until that has succeeded."""
+        """Announces the drain to the peers, and retries until that succeeds."""
         while True:
             is_announced = await self._member.announce_unavailable()
             if is_announced:
                 return
-            await asyncio.sleep(ANNOUNCE_RETRY_S)
+            await asyncio.sleep(ANNOUNCE_RETRY_DELAY_S)
 
     async def _hand_over(self, key: str, version: int) -> None:
-        """Have a peer take a claim over; give it up if none does."""
+        """Has a peer take over a claim; resigns the claim if all peers refuse."""
         has_response = False
         for name in self._member.takeover_candidates():
             is_taken = await self._request_takeover(name, key, version)
@@ -147,20 +160,24 @@
                 break
         else:
             if has_response or self._has_live_peer():
-                # All are older programs, or refuse: the claim is given up, as by a controller that
-                # receives no heartbeats.
-                self._give_up(key)
+                # All peers refuse, or run a program version without handover: the claim is
+                # resigned, as by a controller that receives no heartbeats.
+                self._resign(key)
         await self._is_claim_gone(key, version)
 
     def _has_live_peer(self) -> bool:
-        """Whether the record of a peer has outlasted the lease that it would have left if its
-        process had ended before the drain: without one, a claim given up might stay unowned."""
-        waited_s = self._clock.now() - self._began_at
+        """Whether a peer is certainly running.
+
+        A peer that ended before the drain leaves its record until its lease expires. A record that
+        is still there later belongs to a running peer; without one, a resigned claim might stay
+        without an owner.
+        """
+        waited_s = self._clock.now() - self._drain_started_at
         return waited_s > self._member.claim_ttl_s + MAX_STATE_AGE_S and bool(
             self._member.takeover_candidates()
         )
 
-    def _give_up(self, key: str) -> None:
+    def _resign(self, key: str) -> None:
         with self._model.lock:
             if key == LEADER_KEY:
                 self._member.resign_leadership()
@@ -170,11 +187,12 @@
                 self._member.resign(shard)
 
     async def _is_claim_gone(self, key: str, version: int) -> bool:
-        """Whether the state watcher shows in time that the claim is no longer this version's."""
+        """Whether the state watcher shows, within `TAKEOVER_VISIBLE_S`, that this controller no
+        longer owns this version of the claim."""
         until = self._clock.now() + TAKEOVER_VISIBLE_S
         while self._clock.now() < until:
             with self._model.lock:
                 if (key, version) not in self._owned_claims():
                     return True
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return False
--- a/badgerseam/rollout/level_upgrade.py
+++ b/badgerseam/rollout/level_upgrade.py
@@ -1,10 +1,11 @@
-"""The leader's part of a rollout: moving the site's level, one step at a time.
-
-A raise is one transaction on the versions of the leader's claim, of the level's record, of the
-operators' target, and of the record of every configured controller. These records are attached to
-leases: at the revision of the raise each controller was alive, under the very program that reported
-its levels. One that ends, restarts with another program or loses its lease before the raise makes
-it fail; one that does so after it finds the new level when it starts.
+"""Changes of the site's level, which the leader makes one step at a time.
+
+Raising the level is one transaction that is conditional on the versions of the leader's claim, the
+level's record, the operators' target, and the record of every configured controller. Controller
+records are attached to leases, so at the revision of the raise each controller was running the
+program that reported its levels. If a controller ends, restarts with another program or loses its
+lease before the raise, the transaction fails; if it does so afterwards, it reads the new level when
+it starts.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
 log = logging.getLogger("badgerseam.rollout")
 
 DEADLINE_S = 2.0
-RETRY_PAUSE_S = 1.0
-"""After a step that was refused or not answered."""
+RETRY_DELAY_S = 1.0
+"""Seconds between a change of the level that failed or got no response and the next attempt."""
 NEVER = -1e9
-"""A time before every other one."""
+"""A time earlier than every time of the clock."""
 
 
 class _Session(NamedTuple):
-    """One run of a controller's program: another lease or other levels mean another run."""
+    """One run of a controller's process: another lease or other levels mean another run."""
 
     lease: int
     min_level: int
@@ -42,14 +43,14 @@
 
 
 class _SessionStart(NamedTuple):
-    """The session of a controller, and when it was first observed."""
+    """The session of a controller and the time at which it was first observed."""
 
     session: _Session
     observed_at: float
 
 
 class LevelUpgrade:
-    """Checks, on the leader, whether the level can be moved, and moves it."""
+    """Checks, on the leader, whether the site's level can be changed, and changes it."""
 
     def __init__(
         self, model: Model, member: Membership, committer: GroupCommitter, options: RolloutOptions
@@ -60,14 +61,14 @@
         self._clock = model.clock
         self._options = options
         self._sessions: dict[str, _SessionStart] = {}
-        self._is_moving = False
+        self._is_changing = False
         self._retry_at = NEVER
         self._logged_obstacles: tuple[int, tuple[Obstacle, ...]] | None = None
-        """The level and its obstacles that were logged last, so that each is logged once."""
+        """The level and the obstacles logged last; they are logged again only if they change."""
         self._tasks = BackgroundTasks()
 
     def next_level(self) -> int | None:
-        """The level that the site is to go to now; None if it is at its target."""
+        """Returns the next level on the way to the target; None if the site is at its target."""
         model = self._model
         level = model.level.level
         target = model.program.max_level if model.target is None else model.target[0].level
@@ -78,7 +79,7 @@
         return None
 
     def obstacles(self, level: int) -> list[Obstacle]:
-        """What keeps the site from going to a level, by controller."""
+        """Returns what prevents the site from changing to a level, by controller."""
         model = self._model
         found: list[Obstacle] = []
         if level < model.level.level and not model.program.can_lower_from(model.level.level):
@@ -92,7 +93,7 @@
         return found
 
     def _controller_obstacle(self, name: str, level: int, now: float) -> str | None:
-        """Why a controller keeps the site from going to a level, if it does."""
+        """Returns why a controller prevents the change to a level, or None if it does not."""
         controller = self._model.controllers.get(name)
         if controller is None:
             return "is down, or cut off from the state service"
@@ -107,19 +108,21 @@
         return None
 
     def _is_site_empty(self) -> bool:
-        """Whether nothing was ever submitted, so that no record could be misread."""
+        """Whether no job was ever submitted, so that no stored record can be misread."""
         model = self._model
         return not model.job_index and not model.ended and not model.level.version
 
     def review(self) -> None:
-        """Start a step if one is due and possible; called a few times a second, with the lock
-        held."""
+        """Starts a change of the level if one is due and possible.
+
+        Called several times per second with the model's lock held.
+        """
         if not self._model.loaded:
             self._sessions.clear()
             return
         now = self._clock.now()
         self._observe_sessions(now)
-        if self._is_moving or not self._member.is_leader or now < self._retry_at:
+        if self._is_changing or not self._member.is_leader or now < self._retry_at:
             return
         level = self.next_level()
         if level is None:
@@ -129,8 +132,8 @@
         if obstacles:
             self._log_obstacles(level, obstacles)
             return
-        self._is_moving = True
-        self._tasks.spawn(self._move(level))
+        self._is_changing = True
+        self._tasks.spawn(self._change_level(level))
 
     def _observe_sessions(self, now: float) -> None:
         controllers = self._model.controllers
@@ -143,22 +146,22 @@
                 self._sessions[name] = _SessionStart(session, now)
 
     def _log_obstacles(self, level: int, obstacles: list[Obstacle]) -> None:
-        """Log what blocks a level, whenever that has changed."""
+        """Logs what blocks a level, each time that this changes."""
         if self._logged_obstacles == (level, tuple(obstacles)):
             return
         self._logged_obstacles = (level, tuple(obstacles))
         listed = "; ".join(f"{obstacle.node} {obstacle.reason}" for obstacle in obstacles)
         log.info("level change blocked level=%d obstacles=%r", level, listed)
 
-    async def _move(self, level: int) -> None:
-        """Move the site to a level by one transaction."""
+    async def _change_level(self, level: int) -> None:
+        """Changes the site's level in one transaction."""
         model, member = self._model, self._member
         with model.lock:
             if any(name not in model.controllers for name in member.order):
-                # A controller has ended since the review that found no obstacle.
-                self._is_moving = False
+                # A controller ended after the review had found no obstacle.
+                self._is_changing = False
                 return
-            conditions = self._move_conditions()
+            conditions = self._change_conditions()
             write = self._level_write(level)
         try:
             revision = await self._committer.commit(
@@ -173,14 +176,15 @@
             ProposalDroppedError,
             LeaseExpiredError,
         ) as error:
-            # It may have been applied all the same: the state watcher shows the level if so.
+            # The transaction may have been applied all the same; the state watcher then shows the
+            # new level.
             log.info("level change failed level=%d error=%r", level, error)
-            self._retry_at = self._clock.now() + RETRY_PAUSE_S
+            self._retry_at = self._clock.now() + RETRY_DELAY_S
         finally:
-            self._is_moving = False
+            self._is_changing = False
 
-    def _move_conditions(self) -> dict[str, int]:
-        """That nothing has changed on which a step stands: see the module's docstring."""
+    def _change_conditions(self) -> dict[str, int]:
+        """Returns the versions that a change of the level depends on: see the module docstring."""
         model = self._model
         conditions = {
             LEVEL_KEY: model.level.version,
@@ -201,10 +205,10 @@
         return wire.Write(put=LEVEL_KEY, value=wire.raw(record))
 
     async def set_target(self, level: int | None, node: str) -> None:
-        """Make the level durable that operators want; None: the newest.
+        """Stores the level that operators request; None stands for the newest one.
 
-        Raises `ConditionFailedError` if another target was set meanwhile, and
-        `StateUnavailableError`.
+        Raises `ConditionFailedError` if another target was set in the meantime, and
+        `StateUnavailableError` if the state service does not respond.
         """
         model = self._model
         with model.lock:
--- a/badgerseam/rollout/migration.py
+++ b/badgerseam/rollout/migration.py
@@ -1,16 +1,17 @@
-"""Migration of old records to the form of the site's level, in the background.
-
-Some levels need none: what was written before stays valid, and is written again in the course of
-work (`rollout/page_refresh.py`). Others have a form whose reader is to be dropped one day. Then the
-leader reads the keys in question page by page and writes each record that is still in the older
-form again: on the versions of the record and of the level, so that a step that is repeated, applied
-late, or overtaken by the record's owner fails and changes nothing. Progress is not stored: the next
-leader starts at the first key, and reads past what is migrated, a thousand records a request.
-
-After the raise no controller can write the older form any more (design.md, point 11). So one pass
-that began after it and met no old record proves that there is none, and only that is written into
-the level's record (stored as `carried`). A program that has dropped the reader supports a site only
-when the record says so.
+"""Background migration of old records to the format of the site's level.
+
+Some levels need no migration: records in the older format stay valid and are rewritten in normal
+operation (`rollout/page_refresh.py`). Other levels replace a format whose reader is to be removed
+from the program later. For these, the leader reads the keys concerned page by page and rewrites
+each record that is still in the older format. A rewrite is conditional on the versions of the
+record and of the level, so one that is repeated, applied late, or preceded by a write of the
+record's owner fails and changes nothing. Progress is not stored: the next leader starts at the
+first key and reads past the migrated records, a thousand per request.
+
+After the raise of the level, no controller can write the older format any more (design.md, point
+11). Hence a pass that began after the raise and found no old record proves that none is left; only
+this result is written into the level's record (stored as `carried`). A program without the old
+reader supports a site only if the record says so.
 """
 
 from __future__ import annotations
@@ -37,41 +38,42 @@
 log = logging.getLogger("badgerseam.rollout")
 
 PAUSE_S = 0.2
-"""Between two steps: a few requests a second at most, whatever the budget is."""
-IDLE_S = 1.0
-"""Between two checks whether there is anything to migrate."""
+"""Seconds between two steps, so that a migration makes only a few requests per second whatever the
+write budget is."""
+IDLE_INTERVAL_S = 1.0
+"""Seconds between two checks whether a migration is due."""
 DEADLINE_S = 30.0
 MAX_TRANSACTION_BYTES = 32 * 1024
-"""Of one step; a transaction may have 64 KiB."""
+"""Size limit of a migration's transactions; the state service accepts up to 64 KiB."""
 WRITE_OVERHEAD_BYTES = 250
-"""About what a write and its condition take in a transaction beside the value."""
+"""Approximate size of a write and its condition in a transaction, without the value."""
 
 
 class RecordFormat(Protocol):
-    """A change of a record's form that a level brings."""
+    """A change of a record's format that a level introduces."""
 
     level: int
-    """The level at which the newer form is written."""
+    """The level from which on the newer format is written."""
     prefix: str
-    """Of the keys whose records may be in the older form."""
+    """Prefix of the keys whose records may be in the older format."""
 
     def is_old(self, entry: wire.Entry) -> bool:
-        """Whether a record is in the older form."""
+        """Whether a record is in the older format."""
 
     def rewrite(self, entry: wire.Entry) -> list[wire.Write]:
-        """The writes that replace a record: at least one of its own key, put or deleted.
+        """Returns the writes that replace a record: at least one put or delete of its own key.
 
-        Nothing that the record holds may be lost.
+        They must preserve all information in the record.
         """
 
 
 RECORD_FORMATS: tuple[RecordFormat, ...] = ()
-"""The formats of this program. Level 2 has none: rows without a start stay valid."""
+"""The formats of this program. Level 2 needs none: rows without a start time stay valid."""
 
 
 @dataclass(slots=True)
 class PassProgress:
-    """Progress of the present pass over the keys of a format."""
+    """Progress of the current pass over the keys of a format."""
 
     format: RecordFormat
     level_version: int
@@ -80,7 +82,7 @@
     """The last key that was read."""
     scanned: int = 0
     old: int = 0
-    """Records that were in the older form."""
+    """Number of records that were in the older format."""
 
 
 class _Rewrite(NamedTuple):
@@ -91,7 +93,7 @@
 
 
 class RecordMigration:
-    """Migrates, on the leader, one format after the other, in the order of their levels."""
+    """Migrates records on the leader, one format after the other, in the order of levels."""
 
     def __init__(
         self,
@@ -109,17 +111,21 @@
         self._pass: PassProgress | None = None
         self.rewritten = 0
         self.overtaken = 0
-        """Records that their owner, or an earlier sending, had changed meanwhile."""
+        """Number of rewrites that failed because the record's owner, or an earlier attempt of the
+        same rewrite, had changed the record in the meantime."""
         self._started_at = model.clock.now()
 
     async def run(self) -> None:
-        """Migrate for ever; returns at once if this program has no formats."""
+        """Migrates records until cancelled; returns at once if this program has no formats."""
         while self._formats:
             is_due = await self.step()
-            await asyncio.sleep(PAUSE_S if is_due else IDLE_S)
+            await asyncio.sleep(PAUSE_S if is_due else IDLE_INTERVAL_S)
 
     def due_format(self) -> RecordFormat | None:
-        """The format to which records are to be migrated now."""
+        """Returns the format to which records are to be migrated now, or None.
+
+        None if no migration is due or this controller is not the leader.
+        """
         model = self._model
         if not self._member.is_leader or not model.loaded or not model.is_supported:
             return None
@@ -130,7 +136,7 @@
         return [f for f in self._formats if site.migrated < f.level <= site.level]
 
     async def step(self) -> bool:
-        """Read one page of keys, and rewrite the old records of it; whether any format is due."""
+        """Reads one page of keys and rewrites its old records; returns whether a format is due."""
         due = self.due_format()
         if due is None:
             self._pass = None
@@ -148,7 +154,7 @@
         return True
 
     def _current_pass(self, due: RecordFormat) -> PassProgress:
-        """The pass that is under way, or a new one if the format or the site's level is another."""
+        """Returns the current pass, or a new one if the format or the site's level has changed."""
         version = self._model.level.version
         progress = self._pass
         if progress is None or progress.format is not due or progress.level_version != version:
@@ -165,7 +171,7 @@
 
     async def _end_pass(self, progress: PassProgress) -> None:
         if progress.old:
-            # Whether all of them were written is for the next pass to see.
+            # Only the next pass shows whether all of these records were rewritten.
             log.info(
                 "migration pass ended level=%d old=%d scanned=%d",
                 progress.format.level,
@@ -179,7 +185,7 @@
     def _batches(
         self, record_format: RecordFormat, entries: list[wire.Entry]
     ) -> list[list[_Rewrite]]:
-        """Rewritten records in transactions within the limits."""
+        """Splits the rewrites of records into batches that fit into one transaction each."""
         max_writes = self._state.params.txn_ops
         batches: list[list[_Rewrite]] = []
         free_writes = size = 0
@@ -195,7 +201,7 @@
         return batches
 
     async def _write(self, batch: list[_Rewrite], level_version: int) -> None:
-        """Write records again; those that were overtaken are left to the next pass."""
+        """Rewrites a batch of records; those changed in the meantime are left to the next pass."""
         while batch:
             conditions = {rewrite.entry.key: rewrite.entry.version for rewrite in batch}
             conditions[LEVEL_KEY] = level_version
@@ -220,7 +226,7 @@
         return self._member.is_leader
 
     async def _mark_migrated(self, progress: PassProgress) -> None:
-        """Write into the level's record that a pass has met no record of the older form."""
+        """Writes into the level's record that a pass found no record in the older format."""
         model = self._model
         level = progress.format.level
         with model.lock:
@@ -246,7 +252,7 @@
             model.apply(LEVEL_KEY, write.value, revision)
 
     def view(self) -> MigrationProgress:
-        """How far the migration has come on this controller."""
+        """Returns the progress of the migration on this controller."""
         progress = self._pass
         elapsed_s = max(1e-9, self._model.clock.now() - self._started_at)
         return MigrationProgress(
--- a/badgerseam/rollout/page_refresh.py
+++ b/badgerseam/rollout/page_refresh.py
@@ -1,10 +1,11 @@
-"""Migration of task log pages to the form of the site's level, behind everything else.
-
-Pages are written again and again as tasks come and go, and take on the form of the level then. One
-that is never written (long tasks, replicas) would stay in the older form. The owner of a shard
-examines one page of it at a time, and writes it again if that is worthwhile and there are writes to
-spare. A step is one transaction on the versions of the page, the claim and the level: repeated it
-changes nothing, applied late it fails, and the next owner of the shard continues from the pages.
+"""Low-priority migration of task log pages to the format of the site's level.
+
+A page is rewritten whenever one of its tasks starts or ends, and then gets the format of the level.
+A page that is not rewritten for long (long tasks, replicas) would stay in the older format.
+Therefore the owner of a shard examines one of its pages at a time, and rewrites the page if that is
+worthwhile and the write budget is not used up. A rewrite is one transaction that is conditional on
+the versions of the page, the claim and the level: if repeated it changes nothing, if applied late
+it fails, and the next owner of the shard continues from the pages themselves.
 """
 
 from __future__ import annotations
@@ -19,18 +20,21 @@
 from badgerseam.wire.rollout import RefreshProgress
 
 MIN_RUNTIME_S = 20.0
-"""Tasks that have run for less may soon be over, and are not worth a write."""
+"""Tasks that have run for fewer seconds may end soon and do not justify a write."""
 
 
 class PageRefresh:
-    """Refreshes the pages of owned shards that lack starts of attempts."""
+    """Rewrites the pages of owned shards whose rows lack the start times of attempts."""
 
     def __init__(self, model: Model, ledger: Ledger, committer: GroupCommitter) -> None:
         self._model = model
         self._rewriter = PageRewriter(model, ledger, committer, self._lacks_starts)
 
     def review(self) -> None:
-        """Examine one page of each owned shard; called about once a second, with the lock held."""
+        """Examines one page of each owned shard.
+
+        Called about once per second with the model's lock held.
+        """
         if self._model.is_active(Behaviour.ATTEMPT_STARTS):
             self._rewriter.review()
 
@@ -38,7 +42,10 @@
         return count_missing_starts(self._model, page, MIN_RUNTIME_S) > 0
 
     def view(self) -> RefreshProgress:
-        """How many rows are refreshed; reads all pages, and is for operators' requests only."""
+        """Returns how many rows are in the newer format.
+
+        It reads all pages, so it is meant for operators' requests only.
+        """
         model = self._model
         rows = missing = 0
         for shard in model.shards:
--- a/badgerseam/rollout/rolling_update.py
+++ b/badgerseam/rollout/rolling_update.py
@@ -1,8 +1,8 @@
-"""A rolling update: replaces one controller after the other, and stops when the site gets worse.
+"""Rolling update: replaces one controller after the other, and stops if the site becomes unhealthy.
 
-How a process is ended and another program started is the platform's part (`RolloutTarget`). The
-site's state is requested from the controllers themselves (`GET /rollout`) each time anew, so that
-an update that was interrupted can be started again without harm.
+The platform ends a process and starts the new program (`RolloutTarget`). The state of the site is
+not stored by the update but requested from the controllers (`GET /rollout`) at each step, so an
+interrupted update can safely be started again.
 """
 
 from __future__ import annotations
@@ -17,44 +17,45 @@
 from badgerseam.wire.rollout import RolloutView
 
 RESPONSIVE_FRACTION = 0.9
-"""Part of a controller's machines that must send it heartbeats: some hang, or are reclaimed."""
-POLL_S = 0.25
-MAX_UNANSWERED = 4
-"""Further requests in a row without a response after which a controller counts as gone."""
+"""Fraction of a controller's machines that must send it heartbeats; it is less than 1 because some
+machines hang or are being reclaimed at any time."""
+POLL_INTERVAL_S = 0.25
+MAX_VIEW_RETRIES = 4
+"""Consecutive retries without a response after which a controller counts as unreachable."""
 ACTING = "acting"
-"""The state of a controller that takes part (`wire.rollout`)."""
+"""The state of a controller that may own shards (`wire.rollout`)."""
 
 
 class RolloutStoppedError(BadgerseamError):
-    """The rolling update has stopped by itself; the message says at which controller and why.
+    """The rolling update has stopped; the message names the controller and the reason.
 
-    The controllers that were replaced stay so: putting one back is the operators' decision.
+    Controllers that were already replaced are not rolled back: that is left to the operators.
     """
 
 
 class RolloutTarget(Protocol):
-    """The controllers of a site, and the platform that runs their processes."""
+    """The controllers of a site and the platform that runs their processes."""
 
     async def view(self, node: str) -> RolloutView | None:
-        """How a controller sees the site; None if it does not respond."""
+        """Returns a controller's view of the site; None if it does not respond."""
 
     async def drain(self, node: str) -> str | None:
-        """Ask a controller to drain; why it refused, or None."""
+        """Asks a controller to drain; returns the reason if it refuses, otherwise None."""
 
     async def replace(self, node: str) -> None:
-        """End a controller's process, and start the new program in its place."""
+        """Ends a controller's process and starts the new program in its place."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepTimeouts:
-    """How long each step may take, in seconds, before the update stops."""
+    """Time limits of the steps of an update, in seconds."""
 
     drain_s: float = 60.0
-    """From the request to drain until the process may be ended."""
+    """Limit from the request to drain until the process may be ended."""
     recovery_s: float = 60.0
-    """From the end of a process until the site is healthy again, with the new one."""
+    """Limit from the end of a process until the site is healthy with the new one."""
     steady_s: float = 5.0
-    """How long the whole site has to be healthy before the next controller is drained."""
+    """How long the site must stay healthy before the next controller is drained."""
 
 
 ReportProgress = Callable[[str], None]
@@ -62,9 +63,11 @@
 
 
 async def update_order(site: RolloutTarget, nodes: list[str]) -> list[str]:
-    """The controllers, the leader last, so that the leadership changes hands once.
+    """Returns the controllers in the order of the update.
 
-    Raises `RolloutStoppedError` if one does not respond, or another one is configured.
+    The leader is last, so that the leadership is transferred only once. Raises
+    `RolloutStoppedError` if a controller does not respond, or if a configured controller is not
+    among `nodes`.
     """
     leader: str | None = None
     for node in nodes:
@@ -98,10 +101,10 @@
         self._report = report
         self._timeouts = timeouts or StepTimeouts()
         self._uptimes: dict[str, float] = {}
-        """The latest uptime of each controller: a lower one means that it was restarted."""
+        """The last seen uptime of each controller; a lower one means that it was restarted."""
 
     async def run(self, nodes: list[str]) -> None:
-        """Replace the controllers; `RolloutStoppedError` if the site got worse."""
+        """Replaces the controllers; raises `RolloutStoppedError` if the site becomes unhealthy."""
         for node in await update_order(self._site, nodes):
             await self._wait_until_healthy(nodes, None, self._timeouts.steady_s)
             await self._update(node, nodes)
@@ -109,7 +112,7 @@
         self._report("all controllers are replaced")
 
     async def _update(self, node: str, nodes: list[str]) -> None:
-        """Drain one controller, replace it, and wait until it acts."""
+        """Drains one controller, replaces it, and waits until the site is healthy."""
         refusal = await self._site.drain(node)
         if refusal is not None:
             raise RolloutStoppedError(f"{node} cannot leave: {refusal}")
@@ -132,13 +135,13 @@
                 raise RolloutStoppedError(
                     f"{node} acts again: it has ended meanwhile, or was asked to return"
                 )
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         raise RolloutStoppedError(
             f"{node} still holds something after {self._timeouts.drain_s:g} s"
         )
 
     async def _check_others_unchanged(self, nodes: list[str], updated: str | None) -> None:
-        """Stop if a controller other than the one that is updated has ended meanwhile."""
+        """Raises `RolloutStoppedError` if a controller other than `updated` was restarted."""
         for node in nodes:
             if node == updated:
                 continue
@@ -148,23 +151,27 @@
             self._uptimes[node] = view.own.uptime_s
 
     async def _view_with_retries(self, node: str) -> RolloutView:
-        """How a controller sees the site; it may be slow, or cut off for a moment."""
+        """Returns a controller's view of the site.
+
+        The request is retried, because a controller may be slow or unreachable for a moment.
+        """
         view = await self._site.view(node)
         retries = 0
         while view is None:
-            if retries == MAX_UNANSWERED:
+            if retries == MAX_VIEW_RETRIES:
                 raise RolloutStoppedError(f"{node} does not answer any more")
             retries += 1
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             view = await self._site.view(node)
         return view
 
     async def _wait_until_healthy(
         self, nodes: list[str], replaced: str | None, steady_s: float
     ) -> None:
-        """Wait until the site has been healthy for so long; stop with the problem if it lasts.
+        """Waits until the site has been healthy for `steady_s`.
 
-        `replaced`: the controller that was just replaced, which does not respond at first.
+        Raises `RolloutStoppedError` with the problem if it persists. `replaced` is the controller
+        that was just replaced, which does not respond at first.
         """
         until = self._clock.now() + self._timeouts.recovery_s
         healthy_since: float | None = None
@@ -179,10 +186,10 @@
                 healthy_since = None
                 if now >= until:
                     raise RolloutStoppedError(problem)
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _problem(self, nodes: list[str], replaced: str | None) -> str | None:
-        """What keeps the site from being healthy, if anything."""
+        """Returns the reason why the site is not healthy, or None."""
         await self._check_others_unchanged(nodes, replaced)
         for node in nodes:
             view = await self._site.view(node)
@@ -199,7 +206,7 @@
 
 
 def _own_problem(node: str, view: RolloutView) -> str | None:
-    """Why a controller itself is not healthy, if it is not."""
+    """Returns the reason why a controller itself is not healthy, or None."""
     own = view.own
     if own.state != ACTING:
         return f"{node} is {own.state}"
@@ -211,7 +218,7 @@
 
 
 def _site_problem(node: str, view: RolloutView) -> str | None:
-    """What a controller sees wrong with the others, the shards or the leadership, if anything."""
+    """Returns the problem that a controller sees with its peers, shards or leader, or None."""
     for controller in view.controllers:
         if controller.state != ACTING:
             return f"{controller.node} is {controller.state}, as {node} sees it"
@@ -223,7 +230,7 @@
 
 
 def _idle_problem(node: str, view: RolloutView, node_count: int) -> str | None:
-    """Whether a controller owns no shard, although there are enough for all."""
+    """Returns a problem if a controller owns no shard although there are enough for all."""
     shard_counts = {controller.node: len(controller.shards) for controller in view.controllers}
     if not shard_counts.get(node) and sum(shard_counts.values()) >= node_count:
         return f"{node} acts for no share yet"
