--- a/badgerseam/cli/__init__.py
+++ b/badgerseam/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: declares the commands and hands each to the module that runs it."""
+"""The command line: declares the commands and dispatches each to the module that runs it."""
 
 from __future__ import annotations
 
@@ -22,18 +22,19 @@
 )
 
 OPTIONS_VARIABLE = "BADGERSEAM_OPTIONS"
-"""Names the operators' settings file if `--options` is not given."""
+"""Environment variable with the path of the operators' options file, used if `--options` is not
+given."""
 GC_THRESHOLDS = (20_000, 25, 25)
-"""Of Python's garbage collector, for a controller: its objects live long, so cycles are looked for
-more rarely than after each 700 new ones. With the bound on plans a tenth less time on a long
-backlog."""
+"""Thresholds of Python's garbage collector in a controller. Its objects are long-lived, so the
+collector runs less often than after the default of 700 new objects. Together with the limit on
+plans, this saves a tenth of the time on a long backlog."""
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """The parser of `badgerseam`'s arguments."""
+    """Returns the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="badgerseam",
-        description="A preemption-aware cluster scheduler after the GFS paper.",
+        description="A preemption-aware cluster scheduler based on the GFS paper.",
         epilog="Exit codes: 0 done, 1 refused or failed, 2 wrong usage or settings, "
         "3 the node cannot be reached.",
     )
@@ -42,16 +43,16 @@
 
     for name, text in (
         ("serve", "run a controller"),
-        ("check-config", "check the settings and end"),
+        ("check-config", "check the settings and exit"),
     ):
         command = commands.add_parser(name, help=text)
-        command.add_argument("--config", required=True, help="the platform's settings (TOML)")
+        command.add_argument("--config", required=True, help="the platform's settings file (TOML)")
         command.add_argument(
             "--options",
             default=os.environ.get(OPTIONS_VARIABLE),
-            help=f"the operators' settings (JSON); {OPTIONS_VARIABLE} if not given",
+            help=f"the operators' options file (JSON; default: {OPTIONS_VARIABLE})",
         )
-    commands.add_parser("schema", help="print the JSON Schema of the operators' settings")
+    commands.add_parser("schema", help="print the JSON Schema of the operators' options")
     client.add_commands(commands)
     rollout.add_commands(commands)
     classes.add_commands(commands)
@@ -64,7 +65,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run a command; the exit code."""
+    """Runs a command and returns its exit code."""
     options = make_parser().parse_args(arguments)
     try:
         return COMMANDS[options.command](options)
@@ -82,7 +83,7 @@
     settings = load_settings(options.config)
     tunables = load_tunables(options.options)
     check_tunables(tunables, settings, options.options)
-    # The other commands need none of this.
+    # Imported here because the other commands do not need these modules.
     import uvloop
 
     from badgerseam.clock import Clock, make_random
@@ -135,4 +136,4 @@
     "runs": _run_coroutine(runs.run),
     **dict.fromkeys(client.COMMANDS, _run_coroutine(client.run)),
 }
-"""What runs each command that `make_parser` declares."""
+"""The function that runs each command declared by `make_parser`."""
--- a/badgerseam/cli/classes.py
+++ b/badgerseam/cli/classes.py
@@ -1,4 +1,4 @@
-"""`badgerseam classes`: show the priority classes in force, or set others."""
+"""`badgerseam classes`: show or replace the priority classes in force."""
 
 from __future__ import annotations
 
@@ -19,20 +19,24 @@
 
 
 def add_commands(commands: Commands[argparse.ArgumentParser]) -> None:
-    """Declare `classes` and its own commands."""
+    """Declares `classes` and its subcommands."""
     classes = commands.add_parser("classes", help="priority classes: show or set them")
     subcommands = classes.add_subparsers(dest="order", required=True)
-    subcommands.add_parser("show", help="the classes in force, and which controllers disagree")
+    subcommands.add_parser(
+        "show", help="show the classes in force, and which controllers have different ones"
+    )
     set_command = subcommands.add_parser(
-        "set", help="put others in force, until the options change"
+        "set", help="replace the classes in force until the options change"
+    )
+    set_command.add_argument(
+        "file", help="JSON as in section classes of the options; - for standard input"
     )
-    set_command.add_argument("file", help="JSON as in the options' section classes; - for input")
     for command in subcommands.choices.values():
         add_connection_options(command)
 
 
 async def run(options: argparse.Namespace) -> int:
-    """Run one of these commands; the exit code."""
+    """Runs one of these subcommands and returns its exit code."""
     if options.patience < 0:
         return fail("--patience: a number of seconds, 0 to ask once", EXIT_USAGE)
     method: str = "GET"
@@ -46,14 +50,14 @@
         response = await ServiceClient(options.node, options.patience).request(method, PATH, body)
     except UnreachableError as error:
         return fail(str(error), EXIT_UNREACHABLE)
-    absent = "no classes are kept there (section classes of the options)"
+    not_enabled = "no classes are kept there (section classes of the options)"
     return print_response(
-        response, options, absent, lambda b: describe(wire.view_decoder.decode(b))
+        response, options, not_enabled, lambda body: describe(wire.view_decoder.decode(body))
     )
 
 
 def describe(view: wire.ClassesView) -> str:
-    """The classes in force and the controllers that object, as text."""
+    """Returns the classes in force and the controllers' objections to them as text."""
     lines = _class_lines(view)
     if view.pending:
         lines.append(f"the options ({view.digest}) are not in force yet")
--- a/badgerseam/cli/exits.py
+++ b/badgerseam/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the commands, and the form of their error messages."""
+"""Exit codes of the commands, and how they report errors."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 def fail(text: str, code: int) -> int:
-    """Print an error message on standard error; `code`, so that a caller can return it."""
+    """Prints an error message on standard error and returns `code`."""
     print(f"badgerseam: {text}", file=sys.stderr)
     return code
--- a/badgerseam/cli/lab_report.py
+++ b/badgerseam/cli/lab_report.py
@@ -9,14 +9,14 @@
 from badgerseam.lab.report_files import largest_cells
 
 MAX_INVERSIONS_SHOWN = 5
-"""Priority inversions that are printed; the report's file has all."""
+"""Number of priority inversions that are printed; the report file contains all of them."""
 
 CLASS_COLUMNS = ("class", "jobs", "ended", "starts", "first start 50/90/99/100 %", "in time")
 LARGEST_COLUMNS = ("class", "jobs", "served", "least tasks x CPUs", "first s", "all s", "too late")
 
 
 def print_report(report: Report, console: Console) -> None:
-    """Print a report, section by section; a section that has nothing to say may be left out."""
+    """Prints a report section by section; some sections are omitted if they are empty."""
     _print_classes(report, console)
     _print_served(report, console)
     _print_largest_jobs(report, console)
--- a/badgerseam/cli/lab_site.py
+++ b/badgerseam/cli/lab_site.py
@@ -1,4 +1,4 @@
-"""`badgerseam lab up` and `demo`: a site in this process, its controllers in processes below it."""
+"""`badgerseam lab up` and `demo`: run a site here, with its controllers in child processes."""
 
 from __future__ import annotations
 
@@ -23,24 +23,25 @@
 from badgerseam.lab.site import SiteSpec, load_site
 
 NOTES_INTERVAL_S = 0.5
-"""How often new notes of a running lab are printed."""
+"""Seconds between checks for new notes of the running lab, which are printed."""
 LAB_FILES = ("*.log", "history.jsonl", "options.json", "lab.lock")
-"""What a lab writes into its directory, as patterns."""
+"""Patterns of the files that a lab writes into its directory."""
 
 
 def write_options_file(directory: Path, sections: dict[str, Any] | None = None) -> Path:
-    """Write the operators' settings of a lab's controllers; the file's path.
+    """Writes the options file of a lab's controllers and returns its path.
 
-    All that a lab shows is switched on; `sections` are those of an experiment and go before.
+    The features that a lab demonstrates are enabled by default; `sections` are an experiment's
+    options, which take precedence.
     """
     path = directory / "options.json"
-    shown: dict[str, Any] = {"explain": {}, "batch": {}, "accounting": {}, "rollout": {}}
-    path.write_text(json.dumps(shown | (sections or {})) + "\n")
+    defaults: dict[str, Any] = {"explain": {}, "batch": {}, "accounting": {}, "rollout": {}}
+    path.write_text(json.dumps(defaults | (sections or {})) + "\n")
     return path
 
 
 async def run_site(options: argparse.Namespace) -> int:
-    """Start a site and stay until a signal; the exit code says whether a rule was broken."""
+    """Runs a site until a signal; the exit code tells whether a rule was violated."""
     logs.configure("error")
     site = load_site(options.site)
     options.dir.mkdir(parents=True, exist_ok=True)
@@ -66,7 +67,7 @@
 
 
 async def run_demo(options: argparse.Namespace) -> int:
-    """Show a job from end to end on a site of its own; the exit code."""
+    """Shows a job from start to end on a separate site and returns the exit code."""
     logs.configure("error")
     options.dir.mkdir(parents=True, exist_ok=True)
     lab = Lab(SiteSpec(), options.dir, Clock(), Random(1), 0, write_options_file(options.dir))
@@ -80,7 +81,7 @@
 
 
 def _stop_on_signals() -> asyncio.Event:
-    """An event that SIGINT or SIGTERM sets, in place of their usual effect."""
+    """Returns an event that SIGINT and SIGTERM set instead of ending the process."""
     stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
@@ -91,18 +92,18 @@
     try:
         await lab.start()
     except BaseException:
-        # Another lab's files are left alone; it holds the lock.
+        # Without a start, the files in the directory belong to another lab, which holds the lock.
         if lab.has_started:
             _remove_lab_files(directory)
         raise
 
 
 def _publish_control_endpoint(control: ControlEndpoint, directory: Path) -> None:
-    """Listen for the commands of this module's caller, and add the address to the lab's card."""
+    """Listens for the commands of `badgerseam lab`, and writes the address into `lab.json`."""
     port = free_ports(1)[0]
     control.listen(port)
-    card = read_running_lab(directory) | {"control": f"127.0.0.1:{port}"}
-    (directory / "lab.json").write_text(json.dumps(card))
+    running_lab = read_running_lab(directory) | {"control": f"127.0.0.1:{port}"}
+    (directory / "lab.json").write_text(json.dumps(running_lab))
 
 
 def _print_addresses(lab: Lab, directory: Path) -> None:
@@ -113,7 +114,7 @@
 
 
 async def _run_until_stopped(lab: Lab, stop: asyncio.Event, load_factor: float | None) -> None:
-    """Wait until the lab is ready, then print its notes; returns as soon as `stop` is set."""
+    """Waits until the lab is ready, then prints its notes; returns as soon as `stop` is set."""
     ready = asyncio.ensure_future(lab.wait_until_ready())
     stopped = asyncio.ensure_future(stop.wait())
     try:
@@ -140,7 +141,7 @@
 
 
 def _remove_lab_files(directory: Path) -> None:
-    """Remove what a lab has written, and the directory if nothing else is in it."""
+    """Removes the files that a lab has written, and the directory if it is empty then."""
     for pattern in LAB_FILES:
         for path in directory.glob(pattern):
             path.unlink(missing_ok=True)
--- a/badgerseam/cli/render.py
+++ b/badgerseam/cli/render.py
@@ -18,23 +18,23 @@
     "stopping": ("are being stopped", "is being stopped"),
     "done": ("are done", "is done"),
 }
-"""By the state of a group of tasks: what is said of several tasks, and of one."""
+"""By the state of a group of tasks: the phrase for several tasks and the phrase for one."""
 
 
 def terminal_width() -> int:
-    """Columns to fill, from 40 to 120; 80 where there is no terminal."""
+    """Returns the terminal's width in columns, between 40 and 120; 80 without a terminal."""
     return max(40, min(shutil.get_terminal_size((80, 24)).columns, 120))
 
 
 def duration_text(seconds: float) -> str:
-    """A duration such as 4.2 s, 3 min, 2.5 h."""
+    """Returns a duration as text such as 4.2 s, 3 min or 2.5 h."""
     if seconds < 60:
         return f"{seconds:.1f} s"
     return f"{seconds / 60:.0f} min" if seconds < 5400 else f"{seconds / 3600:.1f} h"
 
 
 def why_text(answer: Explanation) -> str:
-    """An explanation; its binding reasons are marked with a star."""
+    """Returns an explanation as text; its binding reasons are marked with an asterisk."""
     title = f"{answer.id}: {answer.phase}"
     if answer.node is not None:
         title += f"  (says {answer.node}, {duration_text(answer.age_s)} ago)"
@@ -95,7 +95,7 @@
 
 
 def queue_table(lines: list[QueueLine], reasons: bool) -> str:
-    """One line a job, cut to the terminal's width."""
+    """Returns a table with one line per job; long names are cut to the column width."""
     if not lines:
         return "no open jobs"
     header = (
--- a/badgerseam/cli/runs.py
+++ b/badgerseam/cli/runs.py
@@ -1,4 +1,4 @@
-"""`badgerseam runs`: list the runs of plans, show a run and its members, close one."""
+"""`badgerseam runs`: list the runs of plans, show a run or its members, close a run."""
 
 from __future__ import annotations
 
@@ -21,18 +21,22 @@
 
 
 def add_commands(commands: Commands[argparse.ArgumentParser]) -> None:
-    """Declare `runs` and its own commands."""
+    """Declares `runs` and its subcommands."""
     runs = commands.add_parser("runs", help="reckoning runs")
     subcommands = runs.add_subparsers(dest="order", required=True)
-    subcommands.add_parser("list", help="the latest runs of each plan")
-    show = subcommands.add_parser("show", help="a run: its phase, and how many members stand how")
-    members = subcommands.add_parser("members", help="the members of a run, one a line")
+    subcommands.add_parser("list", help="list the latest runs of each plan")
+    show = subcommands.add_parser(
+        "show", help="show a run: its phase, and its number of members by standing"
+    )
+    members = subcommands.add_parser("members", help="list the members of a run, one per line")
     members.add_argument(
-        "--standing", help="only waiting, placed, running, aside, reckoned or withdrawn ones"
+        "--standing",
+        help="only members with this standing: waiting, placed, running, aside, reckoned or "
+        "withdrawn",
     )
-    members.add_argument("--from", dest="after", default="", help="those behind this member")
-    members.add_argument("--limit", type=int, help="no more than so many (default: all)")
-    close = subcommands.add_parser("close", help="take no more members, and close it")
+    members.add_argument("--from", dest="after", default="", help="only members after this one")
+    members.add_argument("--limit", type=int, help="maximum number of members (default: all)")
+    close = subcommands.add_parser("close", help="accept no more members, and close the run")
     for command in (show, members, close):
         command.add_argument("run", help="plan and number, such as renewal/12")
     for command in subcommands.choices.values():
@@ -40,7 +44,7 @@
 
 
 async def run(options: argparse.Namespace) -> int:
-    """Run one of these commands; the exit code."""
+    """Runs one of these subcommands and returns its exit code."""
     if options.patience < 0:
         return fail("--patience: a number of seconds, 0 to ask once", EXIT_USAGE)
     path = PATH
@@ -78,14 +82,14 @@
 
 
 def _refusal_text(status: int, text: str) -> str:
-    """The error text of a response, in place of that of a path that is switched off."""
+    """Returns the error text of a response, replaced if the path is not enabled on the node."""
     if status == 404 and "no such path" in text:
         return "runs are switched off there (section runs of the options)"
     return text
 
 
 async def _print_members(service: ServiceClient, options: argparse.Namespace, path: str) -> int:
-    """Print the members of a run, read page by page; the exit code."""
+    """Prints the members of a run, read page by page, and returns the exit code."""
     if options.limit is not None and options.limit < 1:
         return fail("--limit: 1 or more", EXIT_USAGE)
     remaining: int | None = options.limit
@@ -110,21 +114,21 @@
     return EXIT_OK
 
 
-def _time_text(at: float) -> str:
+def _format_time(at: float) -> str:
     return time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(at))
 
 
 def run_line(view: wire.RunView) -> str:
-    """A run in one line."""
+    """Returns a run as one line of text."""
     counts = ", ".join(f"{count} {name}" for name, count in view.members.items() if count)
-    return f"{view.plan}/{view.number:<6} {view.phase:<10} {_time_text(view.opened)}  {counts}"
+    return f"{view.plan}/{view.number:<6} {view.phase:<10} {_format_time(view.opened)}  {counts}"
 
 
 def describe(view: wire.RunView) -> str:
-    """A run as text."""
+    """Returns a run as text."""
     lines = [
-        f"{view.plan}/{view.number}: {view.phase} since {_time_text(view.since)} (by {view.by})",
-        f"opened {_time_text(view.opened)}, to be closed by {_time_text(view.closes)}",
+        f"{view.plan}/{view.number}: {view.phase} since {_format_time(view.since)} (by {view.by})",
+        f"opened {_format_time(view.opened)}, to be closed by {_format_time(view.closes)}",
     ]
     lines += [f"  {name:<11} {count}" for name, count in view.members.items()]
     lines += [f"  unresolved, {name}: {count}" for name, count in view.reasons.items()]
@@ -134,7 +138,7 @@
 
 
 def member_line(member: wire.MemberView) -> str:
-    """A member of a run in one line."""
+    """Returns a member of a run as one line of text."""
     parts = [f"{member.member:<24} {member.standing:<10}"]
     if member.count > 1:
         parts.append(f"{member.count} members")
--- a/badgerseam/options/__init__.py
+++ b/badgerseam/options/__init__.py
@@ -1,1 +1,1 @@
-"""Sections of the operators' settings that have records and rules of their own."""
+"""Sections of the operators' options that have their own types and checks."""
--- a/badgerseam/options/replicas.py
+++ b/badgerseam/options/replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that span machines, as operators declare them."""
+"""The `replicas` section of the operators' options: replicas that span several machines."""
 
 from __future__ import annotations
 
@@ -8,70 +8,70 @@
 
 
 class ReplicaClass(Struct, frozen=True, forbid_unknown_fields=True):
-    """What makes a replica of the jobs of one class."""
+    """How the jobs of one job class are divided into replicas."""
 
     tasks: Annotated[
         int | None,
         Meta(
-            description="tasks with consecutive numbers that make one replica of a standing job; "
-            "null: all of a job's. A job of shape group is one replica in any case"
+            description="number of consecutive tasks that form one replica of a standing job; "
+            "null: all tasks of the job. A job of shape group is always one replica"
         ),
     ] = None
-    machines_least: Annotated[int, Meta(description="machines that a replica spans at least")] = 1
+    machines_least: Annotated[int, Meta(description="minimum number of machines of a replica")] = 1
     machines_most: Annotated[
-        int | None, Meta(description="machines that a replica spans at most; null: any number")
+        int | None, Meta(description="maximum number of machines of a replica; null: no limit")
     ] = None
     same_zone: Annotated[
         bool,
         Meta(
-            description="all of a replica's machines are in one zone; if not, a cut between zones "
-            "takes it down"
+            description="all machines of a replica are in one zone; if false, a network partition "
+            "between zones takes it down"
         ),
     ] = True
-    same_type: Annotated[bool, Meta(description="all of a replica's machines are of one type")] = (
+    same_type: Annotated[bool, Meta(description="all machines of a replica are of one type")] = (
         False
     )
     form_s: Annotated[
         float,
         Meta(
-            description="seconds in which a replica that has its room must be up; after that all "
-            "of its room is returned, and it waits for room anew"
+            description="seconds within which a replica must be running once machines are reserved "
+            "for it; after that all of them are released, and it waits again"
         ),
     ] = 180.0
     degraded_s: Annotated[
         float,
         Meta(
-            description="seconds for which a replica may lack members without room for them, "
-            "before the others are stopped and it is started anew"
+            description="seconds for which a replica may lack members that cannot be placed, "
+            "before the other members are stopped and the replica is restarted"
         ),
     ] = 60.0
     moves: Annotated[
-        int, Meta(description="replicas of a job that may be down for moves at once")
+        int, Meta(description="maximum number of replicas of a job that are moved at a time")
     ] = 1
     drain_s: Annotated[
         float,
         Meta(
-            description="seconds for which a machine that is drained without a notice waits for "
-            "whole room for a replica's move, before its members are stopped"
+            description="seconds for which a machine that is drained without a reclaim notice "
+            "waits until a replica can be moved as a whole, before its members are stopped"
         ),
     ] = 20.0
 
 
 class ReplicasOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """Replicas that span machines, kept if this section is there."""
+    """Replicas that span several machines; enabled if this section is present."""
 
     classes: Annotated[
         dict[str, ReplicaClass],
-        Meta(description="by job class; a job of any other is as many replicas as it has tasks"),
+        Meta(description="by job class; in other job classes each task is a replica"),
     ] = field(default_factory=dict)
 
 
 MAX_S = 86_400.0
-"""Longest time that an option of replicas may give: a day."""
+"""Maximum of the times in this section, in seconds: one day."""
 
 
 def check(options: ReplicasOptions) -> list[str]:
-    """What cannot be used, each with its field and its remedy."""
+    """Returns the errors in the section, each with its field and its remedy."""
     return [
         f"classes.{name}.{error}"
         for name, entry in options.classes.items()
@@ -80,7 +80,7 @@
 
 
 def _size_errors(entry: ReplicaClass) -> list[str]:
-    """Numbers of tasks and machines that no replica can have, or that contradict each other."""
+    """Returns errors for impossible or contradictory numbers of tasks and machines."""
     errors: list[str] = []
     if entry.tasks is not None and entry.tasks < 1:
         errors.append(f"tasks: {entry.tasks} tasks are no replica; give 1 or more, or null for all")
@@ -113,7 +113,7 @@
 
 
 def _time_errors(entry: ReplicaClass) -> list[str]:
-    """Times out of range."""
+    """Returns errors for times that are out of range."""
     limits = (
         ("form_s", entry.form_s, 1.0),
         ("degraded_s", entry.degraded_s, 0.0),
--- a/badgerseam/options/runs.py
+++ b/badgerseam/options/runs.py
@@ -1,4 +1,4 @@
-"""Plans of reckoning runs, as operators declare them."""
+"""The `runs` section of the operators' options: plans of reckoning runs."""
 
 from __future__ import annotations
 
@@ -17,32 +17,34 @@
 
 
 class Window(Struct, frozen=True, forbid_unknown_fields=True):
-    """When a run opens each day, and when it must be closed."""
+    """The time of day at which a run opens, and the time by which it must be closed."""
 
     opens: Annotated[Clock, Meta(description="time of day, such as 22:00")]
     closes: Annotated[
-        Clock, Meta(description="time of day; of the next one if it is not after `opens`")
+        Clock, Meta(description="time of day; on the next day if it is not after `opens`")
     ]
 
     def span(self) -> tuple[int, int]:
-        """Minutes of a day from the opening to the closing, the latter beyond a day if it is on
-        the next one."""
+        """Returns the opening and closing time in minutes since midnight of the opening day.
+
+        The closing time is more than a day if it is on the next day.
+        """
         begin, end = minutes(self.opens), minutes(self.closes)
         return begin, end if end > begin else end + DAY_MIN
 
 
 class Plan(Struct, frozen=True, forbid_unknown_fields=True):
-    """What is reckoned night by night; its members are the tasks of the jobs that belong to it."""
+    """A series of runs; the members of a run are the tasks of the jobs that belong to the plan."""
 
-    name: Annotated[PlanName, Meta(description="small letters, digits, -")]
+    name: Annotated[PlanName, Meta(description="lower-case letters, digits and -")]
     classes: Annotated[
-        list[Text], Meta(min_length=1, description="classes of jobs that belong to it")
+        list[Text], Meta(min_length=1, description="job classes that belong to the plan")
     ]
     teams: Annotated[
-        list[Text], Meta(description="only jobs of these teams; of all, if none is named")
+        list[Text], Meta(description="only jobs of these teams; empty: of all teams")
     ] = field(default_factory=list)
     windows: Annotated[
-        list[Window], Meta(description="when its runs open and close, by time of day")
+        list[Window], Meta(description="times of day at which runs open and close")
     ] = field(default_factory=list)
     zone: Annotated[str, Meta(description="time zone of the windows, such as Europe/Zurich")] = (
         "UTC"
@@ -50,110 +52,120 @@
     quiet_s: Annotated[
         Annotated[float, Meta(gt=0)] | None,
         Meta(
-            description="instead of windows: a run opens with the first job that arrives, and "
-            "closes when no other has come for so long and all its members are through",
+            description="instead of windows: a run opens when the first job arrives, and closes "
+            "when no other job has arrived for this time and all members have ended",
         ),
     ] = None
     longest_s: Annotated[
-        float, Meta(gt=0, description="with quiet_s: closed at the latest so long after opening")
+        float, Meta(gt=0, description="with quiet_s: maximum time from opening to closing")
     ] = 86_400.0
     after: Annotated[
-        str | None, Meta(description="a plan whose run must be closed before this one opens")
+        str | None,
+        Meta(description="a plan whose run must be closed before a run of this plan opens"),
     ] = None
     most_at_once: Annotated[
         Annotated[int, Meta(ge=1)] | None,
-        Meta(description="members on machines at a time; in even parts by share of teams"),
+        Meta(description="maximum number of members on machines, divided evenly among its shards"),
     ] = None
     attempts: Annotated[
         int,
         Meta(ge=1, le=1000, description="failures after which a member waits for the second round"),
     ] = 3
-    first: Annotated[Order, Meta(description="which jobs' members go first")] = "deadline"
+    first: Annotated[Order, Meta(description="order in which the members of jobs are started")] = (
+        "deadline"
+    )
     grace_s: Annotated[
-        float, Meta(ge=0, description="how long running members may finish when a run closes")
+        float, Meta(ge=0, description="time for running members to finish after a run has closed")
     ] = 60.0
 
     def has(self, job_class: str, team: str) -> bool:
-        """Whether jobs of that class and team belong to it."""
+        """Whether jobs of a job class and a team belong to the plan."""
         return job_class in self.classes and (not self.teams or team in self.teams)
 
 
 class RunsOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """Reckoning runs, kept if this section is there."""
+    """Reckoning runs; enabled if this section is present."""
 
-    plans: Annotated[list[Plan], Meta(min_length=1, description="no job may belong to two of them")]
+    plans: Annotated[
+        list[Plan], Meta(min_length=1, description="plans; no job may belong to two of them")
+    ]
 
 
 def minutes(clock: str) -> int:
-    """Minutes since midnight of a time such as 22:00."""
+    """Returns the minutes since midnight of a time such as 22:00."""
     time = datetime.time.fromisoformat(clock)
     return 60 * time.hour + time.minute
 
 
 def check(options: RunsOptions, teams: Collection[str]) -> list[str]:
-    """What cannot be used, each with its field and its remedy; `teams`: those of the settings."""
-    found: list[str] = []
+    """Returns the errors in the plans, each with its field and its remedy.
+
+    `teams` are the teams of the settings.
+    """
+    errors: list[str] = []
     names = [plan.name for plan in options.plans]
     for index, plan in enumerate(options.plans):
         at = f"plans[{index}]"
         if plan.name in names[:index]:
-            found.append(f"{at}.name: {plan.name} is taken: give each plan a name of its own")
+            errors.append(f"{at}.name: {plan.name} is taken: give each plan a name of its own")
         for team in plan.teams:
             if team not in teams:
                 known = ", ".join(sorted(teams))
-                found.append(f"{at}.teams: unknown team {team}: name some of {known}")
-        found += _shared(options.plans, index, at)
-        found += _times(plan, at)
+                errors.append(f"{at}.teams: unknown team {team}: name some of {known}")
+        errors += _overlap_errors(options.plans, index, at)
+        errors += _time_errors(plan, at)
         if plan.after is not None and plan.after not in names:
-            found.append(f"{at}.after: no plan {plan.after}: name one of {', '.join(names)}")
-        least = len(plan.teams or teams)
-        if plan.most_at_once is not None and plan.most_at_once < least:
-            # A share whose part is none would never start a member.
-            found.append(
-                f"{at}.most_at_once: {plan.most_at_once} is less than one for each of its {least} "
-                "teams: raise it, or name fewer teams"
+            errors.append(f"{at}.after: no plan {plan.after}: name one of {', '.join(names)}")
+        team_count = len(plan.teams or teams)
+        if plan.most_at_once is not None and plan.most_at_once < team_count:
+            # Each team has a shard, and a shard whose part of the limit is 0 would never start a
+            # member.
+            errors.append(
+                f"{at}.most_at_once: {plan.most_at_once} is less than one for each of its "
+                f"{team_count} teams: raise it, or name fewer teams"
             )
-    return found + _cycles(options.plans)
+    return errors + _cycle_errors(options.plans)
 
 
-def _shared(plans: list[Plan], index: int, at: str) -> list[str]:
+def _overlap_errors(plans: list[Plan], index: int, at: str) -> list[str]:
+    """Returns errors for job classes that also belong to an earlier plan."""
     plan = plans[index]
-    found = []
+    errors = []
     for other in plans[:index]:
-        both = sorted(set(plan.classes) & set(other.classes))
-        alike = not plan.teams or not other.teams or set(plan.teams) & set(other.teams)
-        if both and alike and other.name != plan.name:
-            found.append(
-                f"{at}.classes: {both[0]} belongs to {other.name} as well: leave it to one of the "
-                "plans, or give them teams that differ"
+        common_classes = sorted(set(plan.classes) & set(other.classes))
+        has_common_team = not plan.teams or not other.teams or set(plan.teams) & set(other.teams)
+        if common_classes and has_common_team and other.name != plan.name:
+            errors.append(
+                f"{at}.classes: {common_classes[0]} belongs to {other.name} as well: leave it to "
+                "one of the plans, or give them teams that differ"
             )
-    return found
+    return errors
 
 
-def _times(plan: Plan, at: str) -> list[str]:
-    """What is wrong with when its runs open and close."""
+def _time_errors(plan: Plan, at: str) -> list[str]:
+    """Returns errors in the times at which a plan's runs open and close."""
     if bool(plan.windows) == (plan.quiet_s is not None):
-        what = "both are" if plan.windows else "none is"
-        return [f"{at}.windows, {at}.quiet_s: {what} given: give one of them"]
-    found = _zone(plan, at) if plan.windows else []
+        count = "both are" if plan.windows else "none is"
+        return [f"{at}.windows, {at}.quiet_s: {count} given: give one of them"]
+    errors = _zone_errors(plan, at) if plan.windows else []
     spans = [window.span() for window in plan.windows]
     for later, (begin, end) in enumerate(spans):
         if end - begin >= DAY_MIN:
-            found.append(
+            errors.append(
                 f"{at}.windows[{later}].closes: the same as opens: a run has to be closed before "
                 "the next one opens"
             )
         for earlier, (first, last) in enumerate(spans[:later]):
             days = (-DAY_MIN, 0, DAY_MIN)
             if any(begin + day < last and first < end + day for day in days):
-                found.append(
+                errors.append(
                     f"{at}.windows[{later}]: overlaps windows[{earlier}]: have one close before "
                     "the other opens"
                 )
-    return found
+    return errors
 
 
-def _zone(plan: Plan, at: str) -> list[str]:
+def _zone_errors(plan: Plan, at: str) -> list[str]:
     try:
         ZoneInfo(plan.zone)
     except (ZoneInfoNotFoundError, ValueError, OSError):
@@ -165,16 +177,16 @@
     return []
 
 
-def _cycles(plans: list[Plan]) -> list[str]:
-    """Plans that wait for each other's runs."""
+def _cycle_errors(plans: list[Plan]) -> list[str]:
+    """Returns an error if plans wait for each other's runs in a cycle."""
     after = {plan.name: plan.after for plan in plans}
     for index, plan in enumerate(plans):
-        way = [plan.name]
-        step = after[plan.name]
-        while step is not None and step in after and step not in way:
-            way.append(step)
-            step = after[step]
-        if step == plan.name:
-            circle = " after ".join([*way, plan.name])
-            return [f"plans[{index}].after: a cycle, none would ever open: {circle}: remove one"]
+        path = [plan.name]
+        name = after[plan.name]
+        while name is not None and name in after and name not in path:
+            path.append(name)
+            name = after[name]
+        if name == plan.name:
+            cycle = " after ".join([*path, plan.name])
+            return [f"plans[{index}].after: a cycle, none would ever open: {cycle}: remove one"]
     return []
--- a/badgerseam/options/standby.py
+++ b/badgerseam/options/standby.py
@@ -1,4 +1,4 @@
-"""The warm standby, as operators declare it."""
+"""The `standby` section of the operators' options: failure detection and warm standby."""
 
 from __future__ import annotations
 
@@ -8,49 +8,62 @@
 
 
 class StandbyOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """A controller that has ended is replaced before its state lease is over, and whoever begins to
-    act passes a gate first, if this section is there. Times are in seconds."""
+    """Warm standby; enabled if this section is present. Times are in seconds.
+
+    A controller that has ended is replaced before its state lease expires, and each new owner
+    passes a gate of checks before it acts.
+    """
 
     refusals: Annotated[
-        int, Meta(ge=2, le=100, description="connections refused or reset in a row for a suspicion")
+        int,
+        Meta(
+            ge=2,
+            le=100,
+            description="consecutive refused or reset connections that raise a suspicion",
+        ),
     ] = 3
     probe_s: Annotated[
-        float, Meta(gt=0, le=1, description="between requests to a sibling that refuses them")
+        float,
+        Meta(gt=0, le=1, description="interval between requests to a sibling that refuses them"),
     ] = 0.1
     answer_s: Annotated[
         float,
         Meta(
             ge=0.1,
-            description="what a suspected controller has to answer for through the state service",
+            description="time for a suspected controller to answer through the state service",
         ),
     ] = 0.4
     witnesses: Annotated[
         int,
-        Meta(ge=1, description="of its workers that have to come here where no sibling agrees"),
+        Meta(
+            ge=1,
+            description="workers of a suspected controller that must have switched to this one, if "
+            "no sibling confirms the suspicion",
+        ),
     ] = 3
     backoff_s: Annotated[
         float,
         Meta(
             ge=1,
-            description="after a needless end of a lease no other one of that controller's is "
-            "ended for so long; doubled each time",
+            description="after the lease of a controller was ended needlessly, time for which no "
+            "other lease of it is ended; doubled each time",
         ),
     ] = 600.0
     gate_s: Annotated[
-        float, Meta(ge=0.2, description="what a new owner has for its checks until it hands on")
+        float, Meta(ge=0.2, description="time for a new owner's checks, after which it hands over")
     ] = 2.0
     hints_kb: Annotated[
-        float, Meta(ge=0, le=256, description="KiB of hints in one answer; 0: no hints")
+        float, Meta(ge=0, le=256, description="maximum KiB of hints in one response; 0: no hints")
     ] = 16.0
     hint_age_s: Annotated[
-        float, Meta(gt=0, description="age of a hint that is still used at a takeover")
+        float, Meta(gt=0, description="maximum age of a hint that is used at a takeover")
     ] = 30.0
 
 
 def check(options: StandbyOptions, claim_ttl_s: float) -> list[str]:
-    """What cannot be used, each with its field and its remedy.
+    """Returns the errors in the section, each with its field and its remedy.
 
-    `claim_ttl_s`: the state lease of a controller, in seconds.
+    `claim_ttl_s` is the duration of a controller's state lease in seconds.
     """
     suspicion_s = options.refusals * options.probe_s + options.answer_s
     if suspicion_s >= claim_ttl_s:
