--- a/badgerseam/rollout/rolling_update.py
+++ b/badgerseam/rollout/rolling_update.py
@@ -74,14 +74,14 @@
         view = await site.view(node)
         if view is None:
             raise RolloutStoppedError(
-                f"{node} does not answer: a rollout begins with all controllers well"
+                f"{node} does not answer: a rollout starts only if all controllers are healthy"
             )
         leader = view.leader or leader
         missing = [entry.node for entry in view.controllers if entry.node not in nodes]
         if missing:
             raise RolloutStoppedError(
                 f"{', '.join(missing)}: configured, but not among the nodes given: "
-                "a level rises only when all have the new program"
+                "the level is raised only when all controllers run the new program"
             )
     return sorted(nodes, key=lambda node: node == leader)
 
@@ -133,12 +133,10 @@
                 return
             if view is not None and view.own.state == ACTING:
                 raise RolloutStoppedError(
-                    f"{node} acts again: it has ended meanwhile, or was asked to return"
+                    f"{node} acts again: its process was restarted, or it was asked to return"
                 )
             await asyncio.sleep(POLL_INTERVAL_S)
-        raise RolloutStoppedError(
-            f"{node} still holds something after {self._timeouts.drain_s:g} s"
-        )
+        raise RolloutStoppedError(f"{node} is not drained after {self._timeouts.drain_s:g} s")
 
     async def _check_others_unchanged(self, nodes: list[str], updated: str | None) -> None:
         """Raises `RolloutStoppedError` if a controller other than `updated` was restarted."""
@@ -147,7 +145,7 @@
                 continue
             view = await self._view_with_retries(node)
             if view.own.uptime_s < self._uptimes.get(node, 0.0):
-                raise RolloutStoppedError(f"{node} has ended and started anew by itself")
+                raise RolloutStoppedError(f"{node} was restarted unexpectedly")
             self._uptimes[node] = view.own.uptime_s
 
     async def _view_with_retries(self, node: str) -> RolloutView:
@@ -159,7 +157,7 @@
         retries = 0
         while view is None:
             if retries == MAX_VIEW_RETRIES:
-                raise RolloutStoppedError(f"{node} does not answer any more")
+                raise RolloutStoppedError(f"{node} no longer answers")
             retries += 1
             await asyncio.sleep(POLL_INTERVAL_S)
             view = await self._site.view(node)
@@ -211,9 +209,10 @@
     if own.state != ACTING:
         return f"{node} is {own.state}"
     if not own.caught_up:
-        return f"{node} does not follow the state service"
+        return f"the replica of {node} is behind the state service"
     if own.responsive_machines < RESPONSIVE_FRACTION * own.machines:
-        return f"{node} hears {own.responsive_machines} of its {own.machines} machines"
+        responsive = own.responsive_machines
+        return f"{node} receives heartbeats from {responsive} of its {own.machines} machines"
     return None
 
 
@@ -223,9 +222,9 @@
         if controller.state != ACTING:
             return f"{controller.node} is {controller.state}, as {node} sees it"
     if view.shards_without_actor:
-        return f"shares without an actor: {view.shards_without_actor}"
+        return f"shards without an owner: {view.shards_without_actor}"
     if view.leader is None:
-        return "nobody leads"
+        return "there is no leader"
     return None
 
 
@@ -233,5 +232,5 @@
     """Returns a problem if a controller owns no shard although there are enough for all."""
     shard_counts = {controller.node: len(controller.shards) for controller in view.controllers}
     if not shard_counts.get(node) and sum(shard_counts.values()) >= node_count:
-        return f"{node} acts for no share yet"
+        return f"{node} owns no shard yet"
     return None
--- a/badgerseam/slurm/__init__.py
+++ b/badgerseam/slurm/__init__.py
@@ -1,4 +1,4 @@
-"""Slurm-style commands on the service's own jobs: the same core, the same rules.
+"""Slurm-style commands for the service's jobs, which are scheduled by the same rules as all others.
 
-What each option becomes, and what is refused and why, stands in docs/slurm.md.
+docs/slurm.md describes what each option is translated to, and which options are refused and why.
 """
--- a/badgerseam/slurm/acct.py
+++ b/badgerseam/slurm/acct.py
@@ -1,4 +1,4 @@
-"""bsacct: the accounting of jobs that have ended, of their attempts, and totals by team and day."""
+"""bsacct: accounting of jobs that have ended and of their attempts, and totals by team and day."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 )
 
 END_PHASES = ("done", "withdrawn")
-"""Of the service, for jobs that have ended."""
+"""The service's phases of jobs that have ended."""
 
 
-def _time_text(at: float | None) -> str:
+def _format_time(at: float | None) -> str:
     return "Unknown" if at is None else datetime.fromtimestamp(at).strftime("%Y-%m-%dT%H:%M:%S")
 
 
-def _duration_text(seconds: float) -> str:
+def _format_duration(seconds: float) -> str:
     hours, rest = divmod(round(seconds), 3600)
     minutes, rest = divmod(rest, 60)
     return f"{hours:02}:{minutes:02}:{rest:02}"
@@ -42,13 +42,13 @@
     return line.id.partition("-")[2].lstrip("0") or "0"
 
 
-def _planned_text(line: AccountingLine) -> str:
+def _format_planned(line: AccountingLine) -> str:
     if line.eligible_at is None or line.started_at is None:
         return "Unknown"
-    return _duration_text(max(0.0, line.started_at - line.eligible_at))
+    return _format_duration(max(0.0, line.started_at - line.eligible_at))
 
 
-def _ends_text(line: AccountingLine) -> str:
+def _format_ends(line: AccountingLine) -> str:
     return ";".join(f"{cause}={count}" for cause, count in line.ends.items())
 
 
@@ -61,22 +61,22 @@
     Field("", "QOS", "QOS", lambda line: line.priority),
     Field("", "State", "State", lambda line: PHASE_STATES[line.state]),
     Field("", "ExitCode", "ExitCode", lambda line: "0:0" if line.state == "done" else "0:15"),
-    Field("", "Submit", "Submit", lambda line: _time_text(line.submitted_at)),
-    Field("", "Eligible", "Eligible", lambda line: _time_text(line.eligible_at)),
-    Field("", "Start", "Start", lambda line: _time_text(line.started_at)),
-    Field("", "End", "End", lambda line: _time_text(line.ended_at)),
-    Field("", "Planned", "Planned", _planned_text),
-    Field("", "Elapsed", "Elapsed", lambda line: _duration_text(_elapsed_s(line))),
+    Field("", "Submit", "Submit", lambda line: _format_time(line.submitted_at)),
+    Field("", "Eligible", "Eligible", lambda line: _format_time(line.eligible_at)),
+    Field("", "Start", "Start", lambda line: _format_time(line.started_at)),
+    Field("", "End", "End", lambda line: _format_time(line.ended_at)),
+    Field("", "Planned", "Planned", _format_planned),
+    Field("", "Elapsed", "Elapsed", lambda line: _format_duration(_elapsed_s(line))),
     Field("", "NTasks", "NTasks", lambda line: str(line.tasks)),
     Field("", "AllocCPUS", "AllocCPUS", lambda line: f"{line.cpus * line.tasks:g}"),
-    Field("", "CPUTime", "CPUTime", lambda line: _duration_text(line.useful_s * line.cpus)),
+    Field("", "CPUTime", "CPUTime", lambda line: _format_duration(line.useful_s * line.cpus)),
     Field("", "CPUTimeRAW", "CPUTimeRAW", lambda line: f"{line.useful_s * line.cpus:.3f}"),
-    Field("", "Wasted", "Wasted", lambda line: _duration_text(line.wasted_s * line.cpus)),
+    Field("", "Wasted", "Wasted", lambda line: _format_duration(line.wasted_s * line.cpus)),
     Field("", "WastedRAW", "WastedRAW", lambda line: f"{line.wasted_s * line.cpus:.3f}"),
     Field("", "Attempts", "Attempts", lambda line: str(line.attempts)),
     Field("", "Unmeasured", "Unmeasured", lambda line: str(line.unmeasured)),
     Field("", "Complete", "Complete", lambda line: "yes" if line.complete else "no"),
-    Field("", "Ends", "Ends", _ends_text),
+    Field("", "Ends", "Ends", _format_ends),
     Field("", "Money", "Money", lambda line: f"{line.money:.4f}"),
 ]
 ATTEMPTS_FORMAT = (
@@ -90,13 +90,13 @@
     Field("", "Zone", "Zone", lambda line: line.zone),
     Field("", "Spot", "Spot", lambda line: "yes" if line.spot else "no"),
     Field("", "State", "State", lambda line: line.cause),
-    Field("", "Placed", "Placed", lambda line: _time_text(line.placed_at)),
-    Field("", "Start", "Start", lambda line: _time_text(_started_at(line))),
-    Field("", "End", "End", lambda line: _time_text(line.ended_at)),
-    Field("", "Seconds", "Seconds", lambda line: _text_or_unknown(line.seconds, "{:.3f}")),
+    Field("", "Placed", "Placed", lambda line: _format_time(line.placed_at)),
+    Field("", "Start", "Start", lambda line: _format_time(_started_at(line))),
+    Field("", "End", "End", lambda line: _format_time(line.ended_at)),
+    Field("", "Seconds", "Seconds", lambda line: _format_or_unknown(line.seconds, "{:.3f}")),
     Field("", "Money", "Money", lambda line: f"{line.money:.6f}"),
     Field("", "EvictedFor", "EvictedFor", lambda line: line.evicted_for or ""),
-    Field("", "Cost", "Cost", lambda line: _text_or_unknown(line.cost, "{:.4f}")),
+    Field("", "Cost", "Cost", lambda line: _format_or_unknown(line.cost, "{:.4f}")),
 ]
 TOTAL_FIELDS: list[Field[DayTotal]] = [
     Field("", "Day", "Day", lambda total: total.day),
@@ -105,8 +105,8 @@
     Field("", "Cancelled", "Cancelled", lambda total: str(total.cancelled)),
     Field("", "Attempts", "Attempts", lambda total: str(total.attempts)),
     Field("", "Unmeasured", "Unmeasured", lambda total: str(total.unmeasured)),
-    Field("", "CPUTime", "CPUTime", lambda total: _duration_text(total.useful_cpu_s)),
-    Field("", "Wasted", "Wasted", lambda total: _duration_text(total.wasted_cpu_s)),
+    Field("", "CPUTime", "CPUTime", lambda total: _format_duration(total.useful_cpu_s)),
+    Field("", "Wasted", "Wasted", lambda total: _format_duration(total.wasted_cpu_s)),
     Field("", "Money", "Money", lambda total: f"{total.money:.4f}"),
 ]
 
@@ -115,7 +115,7 @@
     return None if line.seconds is None else line.ended_at - line.seconds
 
 
-def _text_or_unknown(value: float | None, template: str) -> str:
+def _format_or_unknown(value: float | None, template: str) -> str:
     return "unknown" if value is None else template.format(value)
 
 
@@ -126,28 +126,32 @@
 def make_parser(
     add_node_option: Callable[[argparse.ArgumentParser], None],
 ) -> argparse.ArgumentParser:
-    """The parser of bsacct's arguments."""
+    """Returns the parser of bsacct's arguments."""
     parser = argparse.ArgumentParser(prog="bsacct", description="List jobs that have ended.")
-    parser.add_argument("-j", "--jobs", help="numbers or ids, with commas")
-    parser.add_argument("-A", "--account", help="the team")
+    parser.add_argument("-j", "--jobs", help="job numbers or ids, separated by commas")
+    parser.add_argument("-A", "--account", help="only jobs of this team")
     parser.add_argument("-u", "--user")
     parser.add_argument("--name")
-    parser.add_argument("-s", "--state", help="COMPLETED or CANCELLED, or short")
-    parser.add_argument("-S", "--starttime", help="ended not before: 08:00, a date, now-style")
-    parser.add_argument("-E", "--endtime", help="ended not after")
-    parser.add_argument("-o", "--format", help="names with widths, with commas")
+    parser.add_argument("-s", "--state", help="COMPLETED or CANCELLED, or an abbreviation")
+    parser.add_argument(
+        "-S", "--starttime", help="only jobs that ended at this time or later: 08:00, a date, now"
+    )
+    parser.add_argument("-E", "--endtime", help="only jobs that ended at this time or earlier")
+    parser.add_argument("-o", "--format", help="field names with widths, separated by commas")
     parser.add_argument("-n", "--noheader", action="store_true")
-    parser.add_argument("-P", "--parsable2", action="store_true", help="fields joined by |")
-    parser.add_argument("--csv", action="store_true", help="line by line as it comes")
+    parser.add_argument("-P", "--parsable2", action="store_true", help="separate fields by |")
+    parser.add_argument("--csv", action="store_true", help="print CSV, line by line as it arrives")
     parser.add_argument("--json", action="store_true")
-    parser.add_argument("--attempts", action="store_true", help="of the jobs named, one by one")
-    parser.add_argument("--totals", action="store_true", help="by team and day (UTC)")
+    parser.add_argument(
+        "--attempts", action="store_true", help="list the attempts of the jobs given by -j"
+    )
+    parser.add_argument("--totals", action="store_true", help="print totals by team and day (UTC)")
     add_node_option(parser)
     return parser
 
 
 def parse_filters(options: argparse.Namespace, now: datetime) -> dict[str, str]:
-    """The query that selects jobs; ValueFormatError names the option that cannot be used."""
+    """Returns the query parameters that select jobs; ValueFormatError names an invalid option."""
     query: dict[str, str] = {}
     for name, value in (("team", options.account), ("user", options.user), ("name", options.name)):
         if value is not None:
@@ -163,7 +167,7 @@
 
 
 def _parse_past_time(text: str, now: datetime) -> datetime:
-    """The time that the text stands for; a time of day is the latest one, not the next."""
+    """Parses a time in the past; a time of day is the latest such time, not the next one."""
     time = parse_begin(text, now)
     is_time_of_day = ":" in text and "T" not in text and "-" not in text
     if time > now and is_time_of_day:
@@ -172,14 +176,14 @@
 
 
 def _parse_end_phases(text: str) -> list[str]:
-    """The phases of ended jobs among the states in a list such as CD,CANCELLED."""
+    """Returns the phases of ended jobs in a list of states such as CD,CANCELLED."""
     try:
         states = parse_states(text)
     except ValueError as error:
         raise ValueFormatError(f"--state: {error}") from error
     phases = [phase for phase in END_PHASES if PHASE_STATES[phase] in states]
     if not phases:
-        raise ValueFormatError("--state: jobs here end as COMPLETED or CANCELLED only")
+        raise ValueFormatError("--state: jobs of this service end only as COMPLETED or CANCELLED")
     return phases
 
 
@@ -198,7 +202,7 @@
 
 
 async def run(batch: BatchClient, options: argparse.Namespace) -> None:
-    """Print totals, attempts or jobs, as the options say."""
+    """Prints totals, attempts or jobs, depending on the options."""
     if options.totals:
         await _print_totals(batch, options)
     elif options.attempts:
@@ -207,7 +211,7 @@
         await _print_jobs_as_csv(batch, options)
     else:
         table = Table(JOB_FIELDS)
-        # A format that cannot be used is refused before the service is asked.
+        # An invalid format is reported before any request is sent.
         table.columns_by_name(options.format or DEFAULT_FORMAT)
         lines = [line async for line in _matching_jobs(batch, options)]
         _print_table(table, options.format or DEFAULT_FORMAT, lines, options)
@@ -221,7 +225,7 @@
 
 async def _print_attempts(batch: BatchClient, options: argparse.Namespace) -> None:
     if options.jobs is None:
-        raise ValueFormatError("--attempts: name jobs with -j")
+        raise ValueFormatError("--attempts: give jobs with -j")
     attempts: list[AttemptLine] = []
     for job in options.jobs.split(","):
         job_id = await batch.resolve_id(job.strip())
@@ -237,7 +241,7 @@
 
 
 async def _print_jobs_as_csv(batch: BatchClient, options: argparse.Namespace) -> None:
-    """Print each job as its line arrives, so that long lists need no memory."""
+    """Prints each job as its line arrives, so that a long list is not held in memory."""
     columns = Table(JOB_FIELDS).columns_by_name(options.format or DEFAULT_FORMAT)
     writer = csv.writer(sys.stdout, lineterminator="\n")
     if not options.noheader:
--- a/badgerseam/slurm/batch_options.py
+++ b/badgerseam/slurm/batch_options.py
@@ -1,4 +1,4 @@
-"""bsbatch: the options of its command line and of #SBATCH lines, and those it refuses."""
+"""bsbatch: options of the command line and of #SBATCH lines, and the options of sbatch refused."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     "scavenger": "best_effort",
     "best_effort": "best_effort",
 }
-"""The service's priorities by the name of a QOS."""
+"""The service's priorities by QOS name."""
 CONSTRAINTS = ("ordinary", "spot", "scatter", "onezone")
 ACCOUNT_VARIABLE = "BADGERSEAM_ACCOUNT"
-"""Names the team if --account is not given."""
+"""Environment variable with the team, used if --account is not given."""
 SCRIPT_OPTION_PREFIX = "#SBATCH"
 MAX_AMOUNT = 1e9
 
 REFUSED_OPTIONS = {
-    "nodes": "a task takes one machine; say --ntasks",
-    "nodelist": "machines come and go; say --zone or --partition",
-    "exclude": "machines come and go; failed ones are avoided without being told",
-    "exclusive": "ask for the CPUs of the whole machine type",
+    "nodes": "a task runs on one machine; use --ntasks",
+    "nodelist": "machines are rented and released; use --zone or --partition",
+    "exclude": "machines are rented and released; failing ones are avoided automatically",
+    "exclusive": "request all CPUs of the machine type",
     "output": "the service keeps no output yet",
     "error": "the service keeps no output yet",
     "input": "the service sends no files yet",
@@ -39,15 +39,15 @@
     "export": "tasks run in their image's own environment",
     "mail-type": "notifications come with a later release",
     "mail-user": "notifications come with a later release",
-    "signal": "a task is told to save by --save-time before it is stopped",
-    "reservation": "there are no reservations; guarantees are the teams' own",
+    "signal": "--save-time sets the time that a task gets to save its state before it is stopped",
+    "reservation": "there are no reservations; teams have guaranteed resources",
     "licenses": "licenses are not counted",
     "no-requeue": "a task that loses its machine is always run again",
-    "priority": "ranks go by --qos, order within a rank by --deadline",
-    "nice": "order within a rank follows deadlines; say --qos or --deadline",
+    "priority": "use --qos for the priority, and --deadline for the order within a priority",
+    "nice": "jobs of one priority are ordered by deadline; use --qos or --deadline",
     "kill-on-invalid-dep": "a job whose dependency can never be met waits until it is cancelled",
 }
-"""Options of sbatch that are refused, and why."""
+"""Options of sbatch that are refused, with the reason that is printed."""
 REFUSED_SHORT_OPTIONS = {
     "nodes": "-N",
     "nodelist": "-w",
@@ -61,23 +61,23 @@
 
 
 class SubmissionError(BadgerseamError):
-    """A command line or script cannot be submitted; the message names the option to change."""
+    """A command line or script is invalid; the message names the option to change."""
 
 
 class _SubmissionParser(argparse.ArgumentParser):
-    """Raises on wrong usage, where argparse would end the process."""
+    """An argument parser that raises SubmissionError on wrong usage instead of exiting."""
 
     def error(self, message: str) -> NoReturn:
         raise SubmissionError(message)
 
 
 class _RefusingAction(argparse.Action):
-    """Refuses an option of sbatch, with or without a value, and says why."""
+    """Refuses an option of sbatch, with or without a value, and gives the reason."""
 
-    def __init__(self, *args: Any, why: str = "", **kwargs: Any) -> None:
+    def __init__(self, *args: Any, reason: str = "", **kwargs: Any) -> None:
         kwargs["nargs"] = "?"
         super().__init__(*args, **kwargs)
-        self.why = why
+        self.reason = reason
 
     def __call__(
         self,
@@ -86,11 +86,14 @@
         _values: object,
         option_string: str | None = None,
     ) -> None:
-        raise SubmissionError(f"{option_string}: not to be had here: {self.why}")
+        raise SubmissionError(f"{option_string}: not supported: {self.reason}")
 
 
 def _argument_type(parse: Callable[[str], Any]) -> Callable[[str], Any]:
-    """A parser of values as a `type=` of argparse, which shows the messages of one error only."""
+    """Converts a value parser to an argparse `type=`, whose messages argparse shows.
+
+    argparse shows only the messages of ArgumentTypeError.
+    """
 
     def convert(text: str) -> Any:
         try:
@@ -103,7 +106,7 @@
 
 def _parse_positive(text: str) -> int:
     if not text.isdecimal() or int(text) < 1:
-        raise values.ValueFormatError(f"{text!r} is no number from 1 on")
+        raise values.ValueFormatError(f"{text!r} is not a number of 1 or more")
     return int(text)
 
 
@@ -111,14 +114,14 @@
     try:
         amount = float(text)
     except ValueError as error:
-        raise values.ValueFormatError(f"{text!r} is no number") from error
+        raise values.ValueFormatError(f"{text!r} is not a number") from error
     if not 0 <= amount <= MAX_AMOUNT:
         raise values.ValueFormatError(f"{text!r} is not from 0 to 1e9")
     return amount
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """The parser of a job's options, which a script may have too."""
+    """Returns the parser of a job's options, on the command line and in scripts."""
     parser = _SubmissionParser(
         prog="bsbatch", description="Submit a batch job.", allow_abbrev=False
     )
@@ -134,77 +137,82 @@
 def _add_identity_options(parser: argparse.ArgumentParser) -> None:
     add = parser.add_argument
     add("-J", "--job-name")
-    add("-A", "--account", help=f"the team ({ACCOUNT_VARIABLE} if not given)")
-    add("-q", "--qos", choices=sorted(PRIORITIES), help="the rank (default normal)")
+    add("-A", "--account", help=f"the team (default: {ACCOUNT_VARIABLE})")
+    add("-q", "--qos", choices=sorted(PRIORITIES), help="the priority (default normal)")
 
 
 def _add_resource_options(parser: argparse.ArgumentParser) -> None:
     add = parser.add_argument
     positive = _argument_type(_parse_positive)
     memory = _argument_type(values.parse_memory_gb)
-    add("-n", "--ntasks", type=positive, help="tasks that run only together")
-    add("-a", "--array", type=_argument_type(values.parse_array), help="0-99, 0-99%%10, 1,3,5")
-    add("-c", "--cpus-per-task", type=positive, help="default 1")
-    add("--mem", type=memory, help="of a task: 4G, 512M (default 1G)")
+    add("-n", "--ntasks", type=positive, help="number of tasks that run only together")
+    add(
+        "-a",
+        "--array",
+        type=_argument_type(values.parse_array),
+        help="indices: 0-99, 0-99%%10, 1,3,5",
+    )
+    add("-c", "--cpus-per-task", type=positive, help="CPUs per task (default 1)")
+    add("--mem", type=memory, help="memory per task: 4G, 512M (default 1G)")
     add("--mem-per-cpu", type=memory)
-    add("-G", "--gpus", "--gpus-per-task", type=positive, help="of a task")
+    add("-G", "--gpus", "--gpus-per-task", type=positive, help="GPUs per task")
 
 
 def _add_time_options(parser: argparse.ArgumentParser) -> None:
     add = parser.add_argument
     duration = _argument_type(values.parse_duration_s)
-    add("-t", "--time", type=duration, help="how long a task runs, as you guess")
-    add("--deadline", help="when it should be complete: now+2hours, 16:00, a date")
-    add("-b", "--begin", help="not before: now+2hours, 16:00, a date")
+    add("-t", "--time", type=duration, help="estimated run time of a task")
+    add("--deadline", help="time by which the job should be complete: now+2hours, 16:00, a date")
+    add("-b", "--begin", help="earliest start: now+2hours, 16:00, a date")
     add("-d", "--dependency", type=_argument_type(values.parse_dependencies))
     add("-H", "--hold", action="store_true", default=None)
 
 
 def _add_placement_options(parser: argparse.ArgumentParser) -> None:
     add = parser.add_argument
-    add("-C", "--constraint", help=f"of {', '.join(CONSTRAINTS)}, joined by &")
-    add("-p", "--partition", help="machine types, with commas")
-    add("--zone", help="the only zone")
+    add("-C", "--constraint", help=f"any of {', '.join(CONSTRAINTS)}, joined by &")
+    add("-p", "--partition", help="machine types, separated by commas")
+    add("--zone", help="the only zone to run in")
 
 
 def _add_image_options(parser: argparse.ArgumentParser) -> None:
-    """The options of a task's image and of how it runs."""
+    """Adds the options of a task's image and of how it is run."""
     add = parser.add_argument
     amount = _argument_type(_parse_amount)
     duration = _argument_type(values.parse_duration_s)
     add("--container", help="the image (default: the job's name)")
-    add("--image-gb", type=amount, help="its size")
-    add("--checkpoint", type=duration, help="a task saves by itself so often")
-    add("--save-time", type=amount, help="seconds that a task needs to save")
-    add("--job-class", help="what operators' aims name (default: the job's name)")
-    add("--service", action="store_true", default=None, help="tasks run until cancelled")
-    add("--requeue", action="store_true", default=None, help="always so")
+    add("--image-gb", type=amount, help="size of the image in GB")
+    add("--checkpoint", type=duration, help="interval at which a task saves its state by itself")
+    add("--save-time", type=amount, help="seconds that a task needs to save its state")
+    add("--job-class", help="job class, to which objectives apply (default: the job's name)")
+    add("--service", action="store_true", default=None, help="tasks run until the job is cancelled")
+    add("--requeue", action="store_true", default=None, help="no effect: tasks are always requeued")
     add("--comment")
 
 
 def _add_refused_options(parser: argparse.ArgumentParser) -> None:
-    for name, why in REFUSED_OPTIONS.items():
+    for name, reason in REFUSED_OPTIONS.items():
         flags = [REFUSED_SHORT_OPTIONS[name]] if name in REFUSED_SHORT_OPTIONS else []
         parser.add_argument(
-            *flags, f"--{name}", action=_RefusingAction, why=why, help=argparse.SUPPRESS
+            *flags, f"--{name}", action=_RefusingAction, reason=reason, help=argparse.SUPPRESS
         )
 
 
 def make_command_parser() -> argparse.ArgumentParser:
-    """The parser of a job's options and of those of the command itself."""
+    """Returns the parser of a job's options and of the command's own options."""
     parser = make_parser()
     add = parser.add_argument
-    add("script", nargs="?", help="a script with #SBATCH lines, - for standard input")
-    add("--wrap", help="instead of a script")
-    add("--parsable", action="store_true", help="print the number alone")
-    add("--test-only", action="store_true", help="check, and submit nothing")
-    add("-W", "--wait", action="store_true", help="until it has ended")
+    add("script", nargs="?", help="a script with #SBATCH lines; - for standard input")
+    add("--wrap", help="a shell command instead of a script")
+    add("--parsable", action="store_true", help="print only the job number")
+    add("--test-only", action="store_true", help="check the job without submitting it")
+    add("-W", "--wait", action="store_true", help="wait until the job has ended")
     add("script_args", nargs="*", help=argparse.SUPPRESS)
     return parser
 
 
 def script_options(text: str) -> list[str]:
-    """The options in a script's #SBATCH lines, up to its first command."""
+    """Returns the options in a script's #SBATCH lines, up to the first command."""
     options: list[str] = []
     for number, line in enumerate(text.splitlines(), 1):
         stripped = line.strip()
@@ -219,8 +227,8 @@
 
 
 def parse_command(arguments: Sequence[str]) -> argparse.Namespace:
-    """The arguments of bsbatch; SubmissionError if they cannot be used."""
+    """Parses the arguments of bsbatch; SubmissionError if they are invalid."""
     command = make_command_parser().parse_args(arguments)
     if command.script_args:
-        raise SubmissionError("arguments of the script: the service sends none to tasks yet")
+        raise SubmissionError("script arguments: the service does not pass any to tasks yet")
     return command
--- a/badgerseam/slurm/client.py
+++ b/badgerseam/slurm/client.py
@@ -1,4 +1,4 @@
-"""The requests of Slurm's commands to the service."""
+"""HTTP requests of the Slurm-style commands to the service."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 PAGE_SIZE = 200
 ACCOUNTING_PAGE_SIZE = 500
 MAX_JOBS_EXPLAINED = 300
-"""With more waiting jobs than that the queue is listed without reasons."""
+"""If more jobs wait, the queue is listed without reasons."""
 
 
 class RefusedError(BadgerseamError):
-    """The service refused a request; the message is the service's own, with the path."""
+    """The service refused a request or does not know a job; the message gives the reason."""
 
 
 class BatchClient:
-    """One method a request; each raises RefusedError if the service refuses."""
+    """Sends requests of the Slurm-style commands; raises RefusedError if the service refuses."""
 
     def __init__(self, service: ServiceClient) -> None:
         self._service = service
@@ -44,30 +44,30 @@
         return response
 
     async def resolve_id(self, text: str) -> str:
-        """The id of a job named by its number, its number and a task's, or its id."""
+        """Returns the id of a job given as an id, a number, or a number and task such as 12_3."""
         if text.startswith("job-"):
             return text
         number = text.partition("_")[0]
         if not number.isdecimal():
-            raise RefusedError(f"{text!r} is no job number such as 1000123")
+            raise RefusedError(f"{text!r} is not a job number such as 1000123")
         response = await self._request("GET", f"/numbers/{number}")
         ids = wire.number_lookup_decoder.decode(response.body).ids
         if not ids:
             raise RefusedError(f"{number}: no such job")
         if len(ids) > 1:
             raise RefusedError(
-                f"{number}: several jobs have this number: {', '.join(ids)}; name one"
+                f"{number}: several jobs have this number: {', '.join(ids)}; give one of these ids"
             )
         return ids[0]
 
     async def claim_numbers(self, count: int) -> list[int]:
-        """New job numbers, which no other client gets."""
+        """Allocates job numbers that no other client gets."""
         body = wire.encode(wire.NumbersRequest(count))
         response = await self._request("POST", "/numbers", body)
         return wire.numbers_response_decoder.decode(response.body).numbers
 
     async def submit(self, spec: Submission) -> bool:
-        """Submit a job; False if its id is another job's."""
+        """Submits a job; returns False if another job has its id."""
         body = msgspec.json.encode(spec)
         response = await self._service.request("POST", "/submissions", body)
         if response.status == 409:
@@ -77,39 +77,40 @@
         return True
 
     async def phase(self, job: str) -> str:
-        """The phase of a job."""
+        """Returns the phase of a job."""
         response = await self._request("GET", f"/submissions/{job}")
         return str(json.loads(response.body).get("phase"))
 
     async def cancel(self, job: str) -> str:
-        """Cancel a job; the phase that it has then."""
+        """Cancels a job and returns its phase afterwards."""
         response = await self._request("POST", f"/submissions/{job}/abort", b"{}")
         return str(json.loads(response.body).get("phase"))
 
     async def details(self, job: str) -> wire.Details:
-        """A job whole."""
+        """Returns a job with all its details."""
         response = await self._request("GET", f"/submissions/{job}/details")
         return wire.details_decoder.decode(response.body)
 
     async def why(self, job: str) -> explain.Explanation | None:
-        """The explanation why a job waits; None if no controller has one."""
+        """Returns the explanation of why a job waits; None if no controller has one."""
         response = await self._service.request("GET", f"/submissions/{job}/why")
         return explain.why_decoder.decode(response.body) if response.status == 200 else None
 
     async def update_terms(self, job: str, terms: dict[str, Any]) -> None:
-        """Change some of a job's terms."""
+        """Changes some of a job's terms."""
         await self._request("POST", f"/submissions/{job}/terms", json.dumps(terms).encode())
 
     async def machines(self) -> list[wire.MachineRow]:
-        """The machines, those that are alike in one row."""
+        """Returns the machines, with identical ones combined in one row."""
         response = await self._request("GET", "/machines")
         return wire.machines_decoder.decode(response.body)
 
     async def queue(self, reasons: bool) -> list[explain.QueueLine]:
-        """All open jobs; with reasons of those that wait, unless they are very many.
+        """Returns all open jobs; if `reasons`, with the reasons why jobs wait.
 
-        A list without reasons needs no explanations and is cheap at any length; beyond
-        MAX_JOBS_EXPLAINED waiting jobs it shows only which of them their own terms hold back.
+        A list without reasons needs no explanations and is cheap at any length. With more than
+        MAX_JOBS_EXPLAINED waiting jobs, the list contains only reasons that result from the jobs'
+        own terms.
         """
         lines = await self._list_open_jobs({})
         unexplained = [line for line in lines if line.waiting and not line.reasons]
@@ -137,7 +138,7 @@
     async def accounting(
         self, filters: dict[str, str]
     ) -> AsyncIterator[accounting_wire.AccountingLine]:
-        """Jobs that have ended, the latest first, page by page."""
+        """Yields jobs that have ended, the latest first, requested page by page."""
         after: str | None = None
         while True:
             query = filters | {"limit": str(ACCOUNTING_PAGE_SIZE)}
@@ -157,14 +158,14 @@
     async def attempts(
         self, job: str
     ) -> tuple[list[accounting_wire.AttemptLine], accounting_wire.AttemptsEnd]:
-        """The records of a job's attempts, and how complete they are."""
+        """Returns the records of a job's attempts, and how complete they are."""
         response = await self._request("GET", f"/accounting/attempts?job={job}")
         *lines, last = response.body.splitlines()
         attempts = [accounting_wire.attempt_decoder.decode(line) for line in lines]
         return attempts, accounting_wire.attempts_end_decoder.decode(last)
 
     async def totals(self) -> list[accounting_wire.DayTotal]:
-        """The totals of each team and day."""
+        """Returns the totals of each team and day."""
         response = await self._request("GET", "/accounting/totals")
         return accounting_wire.totals_decoder.decode(response.body)
 
--- a/badgerseam/slurm/commands.py
+++ b/badgerseam/slurm/commands.py
@@ -26,11 +26,11 @@
 
 WAIT_POLL_INTERVAL_S = 2.0
 PATIENCE_S = 60.0
-"""For how long a request is repeated that was refused for now or not answered."""
+"""Seconds for which a request is retried that was refused temporarily or got no response."""
 READ_PATIENCE_S = 10.0
-"""The same for commands that change nothing: they fail soon if no controller answers."""
+"""The same for commands that only read: these fail sooner if no controller responds."""
 DRAFT_JOB_ID, DRAFT_NONCE = "job-1", "x"
-"""In place of what only the service assigns, where a job is checked and not submitted."""
+"""Placeholders for the job id and the nonce where a job is only checked, not submitted."""
 
 
 def _print_error(name: str, text: str) -> None:
@@ -43,7 +43,7 @@
     node: str | None,
     patience_s: float = PATIENCE_S,
 ) -> int:
-    """Run a command's work with a client of the nodes; the exit code, also for its errors."""
+    """Runs a command's work with a client of the nodes; returns the exit code, also on errors."""
     nodes = node or os.environ.get(NODES_VARIABLE, DEFAULT_NODE)
     try:
         return asyncio.run(work(BatchClient(ServiceClient(nodes, patience_s))))
@@ -61,19 +61,21 @@
 
 
 def _add_node_option(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--node", help=f"addresses of controllers ({NODES_VARIABLE})")
+    parser.add_argument(
+        "--node", help=f"addresses of controllers, separated by commas (default: {NODES_VARIABLE})"
+    )
 
 
 # ---- bsbatch ----
 
 
 def bsbatch(arguments: Sequence[str] | None = None) -> int:
-    """Submit a job; the exit code."""
+    """Submits a job and returns the exit code."""
     try:
         command = _parse_batch_arguments(sys.argv[1:] if arguments is None else arguments)
         script = submit.read_script(command, sys.stdin.read)
         draft = submit.make_draft(command, script)
-        # What is wrong without asking the service is reported before it is asked.
+        # Errors that can be detected without the service are reported before any request.
         draft.submission(DRAFT_JOB_ID, [], DRAFT_NONCE, datetime.now().astimezone())
     except (SubmissionError, values.ValueFormatError) as error:
         _print_error("bsbatch", str(error))
@@ -82,8 +84,8 @@
 
 
 def _parse_batch_arguments(arguments: Sequence[str]) -> argparse.Namespace:
-    # --node belongs to the command, not to a job: it is taken out before a script's options are
-    # merged.
+    # --node belongs to the command, not to the job, so it is removed before the options of the
+    # script and of the command line are merged.
     node_parser = argparse.ArgumentParser(add_help=False, allow_abbrev=False)
     _add_node_option(node_parser)
     node_options, rest = node_parser.parse_known_args(arguments)
@@ -105,7 +107,7 @@
         spec = draft.submission(job_id, dependencies, secrets.token_hex(8), now)
         if await batch.submit(spec):
             break
-        # Another client has chosen this very id meanwhile: the next number then.
+        # Another client has submitted a job with this id in the meantime: try the next number.
     print(number if command.parsable else f"Submitted batch job {number}", flush=True)
     if not command.parsable:
         print(
@@ -139,21 +141,19 @@
 
 
 def bscancel(arguments: Sequence[str] | None = None) -> int:
-    """Cancel jobs by number, or all that match; the exit code."""
+    """Cancels jobs by number, or all jobs that match, and returns the exit code."""
     parser = argparse.ArgumentParser(prog="bscancel", description="Cancel jobs.")
-    parser.add_argument("jobs", nargs="*", help="numbers, or ids such as job-000412")
-    parser.add_argument("-A", "--account", help="the team")
-    parser.add_argument("-n", "--name", help="the job's name")
+    parser.add_argument("jobs", nargs="*", help="job numbers, or ids such as job-000412")
+    parser.add_argument("-A", "--account", help="only jobs of this team")
+    parser.add_argument("-n", "--name", help="only jobs with this name")
     parser.add_argument("-u", "--user")
-    parser.add_argument("-t", "--state", help="PENDING or RUNNING")
+    parser.add_argument("-t", "--state", help="only jobs in this state: PENDING or RUNNING")
     parser.add_argument("-v", "--verbose", action="store_true")
     _add_node_option(parser)
     options = parser.parse_args(arguments)
     filters = (options.account, options.name, options.user, options.state)
     if not options.jobs and not any(filters):
-        _print_error(
-            "bscancel", "name jobs, or what they have in common (--account, --name, --user)"
-        )
+        _print_error("bscancel", "give jobs, or a filter (--account, --name, --user, --state)")
         return EXIT_USAGE
     return _run_with_client("bscancel", lambda batch: _cancel(batch, options), options.node)
 
@@ -183,7 +183,7 @@
 
 
 async def _resolve_named_jobs(batch: BatchClient, jobs: list[str]) -> tuple[list[str], bool]:
-    """The ids of jobs named by number or id, and whether any could not be resolved."""
+    """Returns the ids of jobs given by number or id, and whether any could not be resolved."""
     ids: list[str] = []
     failed = False
     for job in jobs:
@@ -203,7 +203,7 @@
 
 
 def bsqueue(arguments: Sequence[str] | None = None) -> int:
-    """List open jobs; the exit code."""
+    """Lists open jobs and returns the exit code."""
     options = queue.make_parser(_add_node_option).parse_args(arguments)
 
     async def work(batch: BatchClient) -> int:
@@ -230,11 +230,11 @@
 
 
 def bsinfo(arguments: Sequence[str] | None = None) -> int:
-    """List machines; the exit code."""
+    """Lists machines and returns the exit code."""
     parser = argparse.ArgumentParser(
         prog="bsinfo", description="List machines.", conflict_handler="resolve"
     )
-    parser.add_argument("-p", "--partition", help="only this machine type")
+    parser.add_argument("-p", "--partition", help="only machines of this type")
     parser.add_argument("-o", "--format", default=MACHINE_FORMAT)
     parser.add_argument("-h", "--noheader", action="store_true")
     parser.add_argument("--json", action="store_true")
@@ -258,7 +258,7 @@
 
 
 def bscontrol(arguments: Sequence[str] | None = None) -> int:
-    """Show, hold, release and change jobs; the exit code."""
+    """Shows, holds, releases or changes jobs and returns the exit code."""
     parser = argparse.ArgumentParser(prog="bscontrol", description="Show and change jobs.")
     _add_node_option(parser)
     subcommands = parser.add_subparsers(dest="order", required=True)
@@ -297,7 +297,7 @@
 
 
 def bsacct(arguments: Sequence[str] | None = None) -> int:
-    """List jobs that have ended; the exit code."""
+    """Lists jobs that have ended and returns the exit code."""
     options = acct.make_parser(_add_node_option).parse_args(arguments)
 
     async def work(batch: BatchClient) -> int:
@@ -315,4 +315,4 @@
     "control": bscontrol,
     "acct": bsacct,
 }
-"""By the names that `badgerseam slurm` has for them."""
+"""The commands by their names in `badgerseam slurm`."""
--- a/badgerseam/slurm/control.py
+++ b/badgerseam/slurm/control.py
@@ -1,4 +1,4 @@
-"""bscontrol: a job as `scontrol show job` prints one, and updates of its terms."""
+"""bscontrol: prints a job like `scontrol show job`, and parses updates of a job's terms."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 CHANGEABLE_FIELDS = ("ArrayTaskThrottle", "StartTime", "Dependency", "Comment")
 
 _FieldRow = list[tuple[str, object]]
-"""Fields of one printed line, as names and values."""
+"""The fields of one printed line, as names and values."""
 
 
 def job_text(job: Details, why: Explanation | None) -> str:
-    """A job, field by field, and the reasons that hold it back."""
+    """Returns the fields of a job and the binding reasons why it waits, as text."""
     spec = job.spec
     rows: list[_FieldRow] = [
         _identity_row(job),
@@ -39,7 +39,7 @@
         rows += _submission_rows(job, spec)
         if spec.terms is not None:
             rows += _terms_rows(spec.terms)
-    lines = [" ".join(f"{key}={_value_text(value)}" for key, value in row) for row in rows]
+    lines = [" ".join(f"{key}={_format_value(value)}" for key, value in row) for row in rows]
     if why is not None:
         lines += [r.text for group in why.groups for r in group.reasons if r.binding]
     return "\n   ".join(lines)
@@ -64,7 +64,7 @@
             ("MinMemoryGB", f"{spec.memory_gb:g}"),
             ("TimeLimit", f"{spec.estimate_s:g}s"),
         ],
-        [("SubmitTime", _time_text(job.submitted_at)), ("Image", spec.image)],
+        [("SubmitTime", _format_time(job.submitted_at)), ("Image", spec.image)],
     ]
 
 
@@ -74,7 +74,7 @@
     )
     rows: list[_FieldRow] = [
         [
-            ("StartTime", _time_text(terms.begin_at)),
+            ("StartTime", _format_time(terms.begin_at)),
             ("ArrayTaskThrottle", terms.throttle),
             ("Dependency", dependencies or None),
         ]
@@ -84,11 +84,11 @@
     return rows
 
 
-def _value_text(value: object) -> str:
+def _format_value(value: object) -> str:
     return "(null)" if value is None else str(value)
 
 
-def _time_text(at: float | None) -> str | None:
+def _format_time(at: float | None) -> str | None:
     return None if at is None else datetime.fromtimestamp(at).strftime("%Y-%m-%dT%H:%M:%S")
 
 
@@ -99,16 +99,16 @@
 
 
 class JobUpdate(NamedTuple):
-    """A change of a job's terms, as typed."""
+    """A change of a job's terms, as given on the command line."""
 
     job: str
     """The job's number or id."""
     terms: dict[str, Any]
-    """The terms that change, in the form of the request; dependencies by number still."""
+    """The terms that change, in the format of the request but with jobs still given by number."""
 
 
 def parse_update(fields: list[str], now: datetime) -> JobUpdate:
-    """The update in JobId=N Field=value ...; SubmissionError names the field that is wrong."""
+    """Parses JobId=N Field=value ...; SubmissionError names the invalid field."""
     job: str | None = None
     terms: dict[str, Any] = {}
     for field in fields:
@@ -121,21 +121,21 @@
         parse = _TERMS_PARSERS.get(name.lower())
         if parse is None:
             known = ", ".join(CHANGEABLE_FIELDS)
-            raise SubmissionError(f"{name}: cannot be changed; there are {known}")
+            raise SubmissionError(f"{name}: cannot be changed; use one of {known}")
         try:
             terms |= parse(value, now)
         except ValueFormatError as error:
             raise SubmissionError(f"{name}: {error}") from error
     if job is None:
-        raise SubmissionError("JobId=NUMBER is needed")
+        raise SubmissionError("JobId=NUMBER is missing")
     if not terms:
-        raise SubmissionError(f"nothing to change; there are {', '.join(CHANGEABLE_FIELDS)}")
+        raise SubmissionError(f"nothing to change; give one of {', '.join(CHANGEABLE_FIELDS)}")
     return JobUpdate(job, terms)
 
 
 def _parse_throttle(value: str, _: datetime) -> dict[str, Any]:
     if not value.isdecimal():
-        raise ValueFormatError(f"{value!r} is no number; 0 takes the throttle away")
+        raise ValueFormatError(f"{value!r} is not a number; 0 removes the throttle")
     return {"throttle": int(value) or None}
 
 
@@ -148,7 +148,7 @@
         return {"depends": [], "any": False}
     dependencies = parse_dependencies(value)
     if dependencies.is_singleton:
-        raise ValueFormatError("singleton is set when a job is submitted")
+        raise ValueFormatError("singleton can only be set when a job is submitted")
     return {"depends": dependencies.entries, "any": dependencies.is_any}
 
 
@@ -162,4 +162,5 @@
     "dependency": _parse_dependency,
     "comment": _parse_comment,
 }
-"""By the name of a field in lower case: from its value and the present time to terms."""
+"""The parsers of field values by lower-case field name; each takes the value and the current time,
+and returns the terms to change."""
--- a/badgerseam/slurm/queue.py
+++ b/badgerseam/slurm/queue.py
@@ -1,4 +1,4 @@
-"""bsqueue: one line for a job's waiting tasks and one for those that run."""
+"""bsqueue: lists open jobs, with separate lines for a job's waiting and running tasks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueRow:
-    """A line of the list: the tasks of a job that are in one state."""
+    """A row of the list: the tasks of a job that are in the same state."""
 
     line: QueueLine
     state: str
@@ -27,12 +27,12 @@
 
     @property
     def number(self) -> str:
-        """The job's number; of an array, with the number of tasks in this row."""
+        """The job's number; for an array, followed by the number of tasks in this row."""
         digits = _job_number(self.line.id) or "0"
         return f"{digits}_[{self.tasks}]" if self.line.array else digits
 
 
-def _elapsed_text(seconds: float) -> str:
+def _format_elapsed(seconds: float) -> str:
     days, rest = divmod(int(seconds), 86400)
     hours, rest = divmod(rest, 3600)
     minutes, rest = divmod(rest, 60)
@@ -40,7 +40,7 @@
     return f"{days}-{text}" if days else text
 
 
-def _time_text(at: float | None) -> str:
+def _format_time(at: float | None) -> str:
     return "N/A" if at is None else datetime.fromtimestamp(at).strftime("%Y-%m-%dT%H:%M:%S")
 
 
@@ -57,16 +57,16 @@
     Field("a", "Account", "ACCOUNT", lambda row: row.line.team),
     Field("t", "StateCompact", "ST", lambda row: STATE_ABBREVIATIONS[row.state]),
     Field("T", "State", "STATE", lambda row: row.state),
-    Field("M", "TimeUsed", "TIME", lambda row: _elapsed_text(row.line.age_s)),
-    Field("l", "TimeLimit", "TIME_LIMIT", lambda row: _elapsed_text(row.line.estimate_s)),
+    Field("M", "TimeUsed", "TIME", lambda row: _format_elapsed(row.line.age_s)),
+    Field("l", "TimeLimit", "TIME_LIMIT", lambda row: _format_elapsed(row.line.estimate_s)),
     Field("D", "NumNodes", "NODES", lambda row: str(row.tasks)),
     Field("C", "NumCPUs", "CPUS", lambda row: f"{row.line.cpus * row.tasks:g}"),
     Field("m", "MinMemory", "MIN_MEMORY", lambda row: f"{row.line.memory_gb * 1024:.0f}M"),
     Field("q", "QOS", "QOS", lambda row: row.line.priority),
     Field("r", "Reason", "REASON", lambda row: reason_name(row.line) if row.tasks else "None"),
     Field("R", "ReasonList", "NODELIST(REASON)", _node_list_or_reason),
-    Field("S", "StartTime", "START_TIME", lambda row: _time_text(row.line.begin_at)),
-    Field("V", "SubmitTime", "SUBMIT_TIME", lambda row: _time_text(row.line.submitted_at)),
+    Field("S", "StartTime", "START_TIME", lambda row: _format_time(row.line.begin_at)),
+    Field("V", "SubmitTime", "SUBMIT_TIME", lambda row: _format_time(row.line.submitted_at)),
     Field("k", "Comment", "COMMENT", lambda row: row.line.comment or ""),
     Field("", "Id", "ID", lambda row: row.line.id),
     Field("", "Why", "WHY", lambda row: row.line.text or ""),
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Filters:
-    """What a job has to have to be listed or cancelled; None admits any."""
+    """Conditions that a job must meet to be listed or cancelled; None means no condition."""
 
     account: str | None
     user: str | None
@@ -84,7 +84,7 @@
     jobs: set[str] | None
 
     def matches(self, line: QueueLine) -> bool:
-        """Whether a job matches; `states` is compared with the job's phase, not with its tasks."""
+        """Whether a job matches; `states` is compared with the phase of the job, not of tasks."""
         return (
             self.account in (None, line.team)
             and self.user in (None, line.user)
@@ -99,7 +99,7 @@
 
 
 def parse_states_option(text: str | None) -> set[str] | None:
-    """The states in the value of --states; ValueFormatError names an unknown one."""
+    """Parses the value of --states; ValueFormatError names an unknown state."""
     if text is None:
         return None
     try:
@@ -111,32 +111,34 @@
 def make_parser(
     add_node_option: Callable[[argparse.ArgumentParser], None],
 ) -> argparse.ArgumentParser:
-    """The parser of bsqueue's arguments."""
+    """Returns the parser of bsqueue's arguments."""
     parser = argparse.ArgumentParser(
         prog="bsqueue", description="List open jobs.", conflict_handler="resolve"
     )
-    parser.add_argument("-j", "--jobs", help="numbers, with commas")
-    parser.add_argument("-A", "--account", help="the team")
+    parser.add_argument("-j", "--jobs", help="job numbers, separated by commas")
+    parser.add_argument("-A", "--account", help="only jobs of this team")
     parser.add_argument("-u", "--user")
     parser.add_argument("--me", action="store_true")
     parser.add_argument("-n", "--name")
-    parser.add_argument("-t", "--states", help="PENDING, RUNNING or short, with commas")
+    parser.add_argument(
+        "-t", "--states", help="PENDING, RUNNING or abbreviations, separated by commas"
+    )
     default_format = DEFAULT_FORMAT.replace("%", "%%")
-    parser.add_argument("-o", "--format", help=f"letters (default {default_format})")
-    parser.add_argument("-O", "--Format", dest="long", help="names, with commas")
+    parser.add_argument("-o", "--format", help=f"fields by letter (default {default_format})")
+    parser.add_argument("-O", "--Format", dest="long", help="fields by name, separated by commas")
     parser.add_argument("-h", "--noheader", action="store_true")
-    parser.add_argument("--parsable2", action="store_true", help="fields joined by |")
+    parser.add_argument("--parsable2", action="store_true", help="separate fields by |")
     parser.add_argument("--json", action="store_true")
     add_node_option(parser)
     return parser
 
 
 def select_rows(lines: list[QueueLine], options: argparse.Namespace) -> list[QueueRow]:
-    """The rows that the options ask for, in the order of the jobs' numbers."""
+    """Returns the rows that the options select, ordered by job number."""
     jobs = None if options.jobs is None else {job.strip() for job in options.jobs.split(",")}
     user = getpass.getuser() if options.me else options.user
     states = parse_states_option(options.states)
-    # Of a job's two rows one may have the state: states are compared row by row below.
+    # A job may have two rows in different states, so states are compared per row below.
     filters = Filters(options.account, user, options.name, None, jobs)
     rows: list[QueueRow] = []
     for line in sorted(lines, key=lambda line: int(_job_number(line.id) or "0")):
@@ -150,7 +152,7 @@
 
 
 def render_rows(rows: list[QueueRow], options: argparse.Namespace) -> str:
-    """The list as it is printed: JSON, separated by | or in columns."""
+    """Returns the list as text: JSON, fields separated by |, or columns."""
     table = Table(FIELDS)
     if options.json:
         fields = [field for field in FIELDS if field.name != "ReasonList"]
--- a/badgerseam/slurm/states.py
+++ b/badgerseam/slurm/states.py
@@ -17,8 +17,8 @@
     "PREEMPTED": "PR",
     "OUT_OF_MEMORY": "OOM",
 }
-"""Job states and their short forms, as published in Slurm's manual of squeue. The service's jobs
-are only ever in the first four: a task that fails is tried again until its user cancels the job."""
+"""Job states and their abbreviations, as documented in Slurm's squeue manual. Jobs of the service
+use only the first four: a task that fails is retried until its user cancels the job."""
 
 PHASE_STATES = {
     "pending": "PENDING",
@@ -26,7 +26,7 @@
     "done": "COMPLETED",
     "withdrawn": "CANCELLED",
 }
-"""Job states by the service's phase of a job."""
+"""Slurm's job states by the service's job phase."""
 
 REASON_NAMES: dict[Code, str] = {
     "held": "JobHeldUser",
@@ -57,7 +57,7 @@
     "next_plan": "None",
     "no_owner": "SystemFailure",
 }
-"""Slurm's reasons by the code of an explanation."""
+"""Slurm's reason names by the reason code of an explanation."""
 
 NODE_STATES = {
     "allocated": "alloc",
@@ -66,11 +66,11 @@
     "booting": "boot",
     "drained": "drain",
 }
-"""Short node states by the service's state of machines."""
+"""Slurm's abbreviated node states by the service's machine state."""
 
 
 def parse_states(text: str) -> set[str]:
-    """Full names of the states in a list such as PD,running; ValueError names the unknown one."""
+    """Parses a list such as PD,running into full names; ValueError names an unknown state."""
     names = {short: name for name, short in STATE_ABBREVIATIONS.items()}
     states: set[str] = set()
     for part in text.split(","):
@@ -85,7 +85,7 @@
 
 
 def reason_name(line: QueueLine) -> str:
-    """Slurm's reason for a job's waiting tasks: that of the first code which has one."""
+    """Returns Slurm's reason why a job's tasks wait: that of the first code which has one."""
     for code in line.reasons:
         if code in REASON_NAMES:
             return REASON_NAMES[code]
--- a/badgerseam/slurm/submit.py
+++ b/badgerseam/slurm/submit.py
@@ -1,4 +1,4 @@
-"""bsbatch: turns options and #SBATCH lines into a submission."""
+"""bsbatch: converts options and #SBATCH lines into a submission."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Draft:
-    """A checked job that lacks only what the service assigns: its number and those of its
+    """A validated job without the values that the service assigns: its job id and the ids of its
     dependencies."""
 
     options: argparse.Namespace
@@ -38,7 +38,7 @@
     def submission(
         self, job_id: str, dependencies: list[Dependency], nonce: str, now: datetime
     ) -> Submission:
-        """The job as it is submitted; SubmissionError for a time that cannot be used."""
+        """Returns the submission; SubmissionError if a time is invalid."""
         options = self.options
         name = options.job_name or DEFAULT_NAME
         constraints = _parse_constraints(options.constraint)
@@ -70,13 +70,13 @@
         )
 
     def _kind(self, tasks: int) -> Literal["standing", "group", "sweep"]:
-        """A service, a gang or an array of independent tasks."""
+        """Returns the kind: a service, a gang, or an array of independent tasks."""
         if self.options.service:
             return "standing"
         return "group" if self.options.array is None and tasks > 1 else "sweep"
 
     def _memory_gb(self, cpus: float) -> float:
-        """Of a task."""
+        """Returns the memory of a task."""
         options = self.options
         if options.mem:
             return float(options.mem)
@@ -104,7 +104,7 @@
         )
 
     def _deadline_s(self, now: datetime) -> float | None:
-        """From `now` on."""
+        """Returns the seconds from `now` to the deadline; None without a deadline."""
         if self.options.deadline is None:
             return None
         deadline_s = (_parse_begin(self.options.deadline, now) - now).total_seconds()
@@ -114,9 +114,9 @@
 
 
 def make_draft(command: argparse.Namespace, script: str) -> Draft:
-    """A draft from the options of the script and of the command line, which go before.
+    """Makes a draft from the options of the script and of the command line.
 
-    SubmissionError if they cannot be used together.
+    The command line takes precedence. Raises SubmissionError if options cannot be combined.
     """
     options = make_parser().parse_args(script_options(script))
     for name in vars(options):
@@ -130,39 +130,42 @@
 
 def _check_combination(options: argparse.Namespace) -> None:
     if not options.account:
-        raise SubmissionError(f"--account: name your team, here or in {ACCOUNT_VARIABLE}")
+        raise SubmissionError(f"--account: give your team here or in {ACCOUNT_VARIABLE}")
     if options.array is not None and (options.ntasks or 1) > 1:
         raise SubmissionError(
-            "--array, --ntasks: tasks of an array run one by one; give one of the two"
+            "--array, --ntasks: tasks of an array run independently; give one of the two"
         )
     if options.mem is not None and options.mem_per_cpu is not None:
         raise SubmissionError("--mem, --mem-per-cpu: give one of the two")
     if options.service and (options.array is not None or options.time is not None):
         raise SubmissionError(
-            "--service: runs until it is cancelled; it takes no --array and no --time"
+            "--service: the job runs until it is cancelled; --array and --time are not allowed"
         )
     constraints = _parse_constraints(options.constraint)
     if {"ordinary", "spot"} <= constraints:
-        raise SubmissionError("--constraint: ordinary and spot exclude one another")
+        raise SubmissionError("--constraint: ordinary and spot exclude each other")
     if {"onezone", "scatter"} <= constraints:
-        raise SubmissionError("--constraint: onezone and scatter exclude one another")
+        raise SubmissionError("--constraint: onezone and scatter exclude each other")
 
 
 def read_script(command: argparse.Namespace, stdin: Callable[[], str]) -> str:
-    """The text of the one script, which --wrap makes; SubmissionError if there is none, or two."""
+    """Returns the script's text, or a script made from --wrap.
+
+    Raises SubmissionError if there is neither or both, or if the script is invalid.
+    """
     if command.wrap is not None:
         if command.script is not None:
             raise SubmissionError("--wrap: there is a script as well; give one of the two")
         return f"#!/bin/sh\n{command.wrap}\n"
     if command.script is None:
-        raise SubmissionError("a script, or --wrap, is needed")
+        raise SubmissionError("a script or --wrap is required")
     try:
         text = stdin() if command.script == "-" else Path(command.script).read_text()
     except (OSError, UnicodeDecodeError) as error:
         raise SubmissionError(f"{command.script}: {error}") from error
     if not text.startswith("#!"):
         raise SubmissionError(
-            f"{command.script}: a batch script begins with #! and its interpreter"
+            f"{command.script}: a batch script must begin with #! and its interpreter"
         )
     return text
 
@@ -172,7 +175,7 @@
     unknown = sorted(constraints - set(CONSTRAINTS))
     if unknown:
         raise SubmissionError(
-            f"--constraint: {', '.join(unknown)}: there are {', '.join(CONSTRAINTS)}"
+            f"--constraint: {', '.join(unknown)}: use any of {', '.join(CONSTRAINTS)}"
         )
     return constraints
 
@@ -185,7 +188,7 @@
 
 
 def _user_name() -> str:
-    """The user's name; the number of a user without one."""
+    """Returns the user's name, or the user id if the user has no name."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/badgerseam/slurm/table.py
+++ b/badgerseam/slurm/table.py
@@ -1,4 +1,4 @@
-"""Tables in the formats that -o and -O of Slurm's commands name."""
+"""Tables in the formats of the options -o and -O of Slurm's commands."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 R = TypeVar("R")
 
 DEFAULT_WIDTH = 20
-"""Of a column of -O without a width, as in Slurm's commands."""
+"""Width of a column of -O that is given without one, as in Slurm's commands."""
 
 
 class TableFormatError(BadgerseamError, ValueError):
-    """A format names a field that the table does not have; the message lists those it has."""
+    """A format contains an unknown field; the message lists the table's fields."""
 
 
 @dataclass(frozen=True, slots=True)
 class Field(Generic[R]):
-    """A field of a row: its letter for -o, its name for -O, its header, and how a row shows it."""
+    """A field of a row: its letter in -o, its name in -O, its header, and its value as text."""
 
     letter: str
     name: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Column(Generic[R]):
-    """A field at its place in a format; `prefix` is the text between it and the column before."""
+    """A field in a format; `prefix` is the text between the previous column and this one."""
 
     field: Field[R]
     width: int | None
@@ -40,20 +40,20 @@
 
 
 class Table(Generic[R]):
-    """Formats rows of one type, with the columns that a format names among its fields."""
+    """Renders rows of one type as text, with columns that a format selects from its fields."""
 
     def __init__(self, fields: Sequence[Field[R]]) -> None:
         self._letters: Mapping[str, Field[R]] = {f.letter: f for f in fields if f.letter}
         self._names: Mapping[str, Field[R]] = {f.name.lower(): f for f in fields}
 
     def columns_by_letter(self, text: str) -> list[Column[R]]:
-        """Columns of a format such as "%.18i %.9P %j"; TableFormatError for an unknown letter."""
+        """Parses a format such as "%.18i %.9P %j"; TableFormatError for an unknown letter."""
         columns: list[Column[R]] = []
         prefix_start = 0
         for match in re.finditer(r"%(\.?)(\d*)([A-Za-z])", text):
             if match[3] not in self._letters:
                 known = " ".join(f"%{letter}" for letter in sorted(self._letters))
-                raise TableFormatError(f"%{match[3]}: no such field; there are {known}")
+                raise TableFormatError(f"%{match[3]}: unknown field; known are {known}")
             columns.append(
                 Column(
                     self._letters[match[3]],
@@ -64,11 +64,11 @@
             )
             prefix_start = match.end()
         if not columns:
-            raise TableFormatError(f"{text!r} names no field such as %i")
+            raise TableFormatError(f"{text!r} contains no field such as %i")
         return columns
 
     def columns_by_name(self, text: str) -> list[Column[R]]:
-        """Columns of a format such as "JobID:10,Name"; TableFormatError for an unknown name."""
+        """Parses a format such as "JobID:10,Name"; TableFormatError for an unknown name."""
         columns: list[Column[R]] = []
         for part in text.split(","):
             name, colon, width = part.strip().partition(":")
@@ -76,7 +76,7 @@
             width = width.lstrip(".")
             if name.lower() not in self._names or (colon and not width.isdecimal()):
                 known = ", ".join(field.name for field in self._names.values())
-                raise TableFormatError(f"{part!r}: no such field; there are {known}")
+                raise TableFormatError(f"{part!r}: unknown field; known are {known}")
             column_width = int(width) if colon else DEFAULT_WIDTH
             separator = " " if columns else ""
             columns.append(
@@ -85,7 +85,7 @@
         return columns
 
     def render(self, columns: Sequence[Column[R]], rows: Sequence[R], has_header: bool) -> str:
-        """Columns padded to their widths, one line a row."""
+        """Returns the rows as lines with columns padded or cut to their widths."""
         lines = []
         if has_header:
             lines.append("".join(c.prefix + _fit(c.field.header, c) for c in columns))
@@ -96,7 +96,7 @@
     def render_parsable(
         self, columns: Sequence[Column[R]], rows: Sequence[R], has_header: bool
     ) -> str:
-        """Fields joined by |, as --parsable2 of Slurm's commands."""
+        """Returns one line per row with fields separated by |, as --parsable2 in Slurm."""
         lines = ["|".join(c.field.header for c in columns)] if has_header else []
         lines += ["|".join(c.field.value(row) for c in columns) for row in rows]
         return "\n".join(lines)
