--- a/badgerseam/cli/client.py
+++ b/badgerseam/cli/client.py
@@ -30,9 +30,10 @@
 MAX_RETRY_DELAY_S = 30.0
 REQUEST_TIMEOUT_S = 5.0
 READ_PATIENCE_S = 3.0
-"""Default of `--patience` for commands that only read."""
+"""Default of `--patience` for commands that only read, in seconds."""
 WRITE_PATIENCE_S = 60.0
-"""Default of `--patience` for commands that change state: a request should survive a failover."""
+"""Default of `--patience` for commands that change state, in seconds: long enough for a request not
+to be lost during a failover."""
 WATCH_INTERVAL_S = 2.0
 PAGE_SIZE = 200
 
--- a/badgerseam/options/classes.py
+++ b/badgerseam/options/classes.py
@@ -44,8 +44,8 @@
         float,
         Meta(
             ge=0,
-            description="waiting time that raises a job by one class, again and again until half "
-            "of its tasks have been started; 0: never",
+            description="a job counts as one class higher each time it has waited this long, until "
+            "half of its tasks have been started; 0: never",
         ),
     ] = 120.0
     held_s: Annotated[
--- a/badgerseam/options/replicas.py
+++ b/badgerseam/options/replicas.py
@@ -46,7 +46,8 @@
         ),
     ] = 60.0
     moves: Annotated[
-        int, Meta(description="maximum number of replicas of a job that are moved at a time")
+        int,
+        Meta(description="maximum number of replicas of a job that are down for moves at a time"),
     ] = 1
     drain_s: Annotated[
         float,
--- a/badgerseam/options/runs.py
+++ b/badgerseam/options/runs.py
@@ -40,9 +40,9 @@
     classes: Annotated[
         list[Text], Meta(min_length=1, description="job classes that belong to the plan")
     ]
-    teams: Annotated[
-        list[Text], Meta(description="only jobs of these teams; empty: of all teams")
-    ] = field(default_factory=list)
+    teams: Annotated[list[Text], Meta(description="only jobs of these teams; empty: all teams")] = (
+        field(default_factory=list)
+    )
     windows: Annotated[
         list[Window], Meta(description="times of day at which runs open and close")
     ] = field(default_factory=list)
@@ -105,29 +105,29 @@
     errors: list[str] = []
     names = [plan.name for plan in options.plans]
     for index, plan in enumerate(options.plans):
-        at = f"plans[{index}]"
+        path = f"plans[{index}]"
         if plan.name in names[:index]:
-            errors.append(f"{at}.name: {plan.name} is taken: give each plan a name of its own")
+            errors.append(f"{path}.name: {plan.name} is taken: give each plan a name of its own")
         for team in plan.teams:
             if team not in teams:
                 known = ", ".join(sorted(teams))
-                errors.append(f"{at}.teams: unknown team {team}: name some of {known}")
-        errors += _overlap_errors(options.plans, index, at)
-        errors += _time_errors(plan, at)
+                errors.append(f"{path}.teams: unknown team {team}: name some of {known}")
+        errors += _overlap_errors(options.plans, index, path)
+        errors += _time_errors(plan, path)
         if plan.after is not None and plan.after not in names:
-            errors.append(f"{at}.after: no plan {plan.after}: name one of {', '.join(names)}")
+            errors.append(f"{path}.after: no plan {plan.after}: name one of {', '.join(names)}")
         team_count = len(plan.teams or teams)
         if plan.most_at_once is not None and plan.most_at_once < team_count:
             # Each team has a shard, and a shard whose part of the limit is 0 would never start a
             # member.
             errors.append(
-                f"{at}.most_at_once: {plan.most_at_once} is less than one for each of its "
+                f"{path}.most_at_once: {plan.most_at_once} is less than one for each of its "
                 f"{team_count} teams: raise it, or name fewer teams"
             )
     return errors + _cycle_errors(options.plans)
 
 
-def _overlap_errors(plans: list[Plan], index: int, at: str) -> list[str]:
+def _overlap_errors(plans: list[Plan], index: int, path: str) -> list[str]:
     """Returns errors for job classes that also belong to an earlier plan."""
     plan = plans[index]
     errors = []
@@ -136,36 +136,36 @@
         has_common_team = not plan.teams or not other.teams or set(plan.teams) & set(other.teams)
         if common_classes and has_common_team and other.name != plan.name:
             errors.append(
-                f"{at}.classes: {common_classes[0]} belongs to {other.name} as well: leave it to "
+                f"{path}.classes: {common_classes[0]} belongs to {other.name} as well: leave it to "
                 "one of the plans, or give them teams that differ"
             )
     return errors
 
 
-def _time_errors(plan: Plan, at: str) -> list[str]:
+def _time_errors(plan: Plan, path: str) -> list[str]:
     """Returns errors in the times at which a plan's runs open and close."""
     if bool(plan.windows) == (plan.quiet_s is not None):
         count = "both are" if plan.windows else "none is"
-        return [f"{at}.windows, {at}.quiet_s: {count} given: give one of them"]
-    errors = _zone_errors(plan, at) if plan.windows else []
+        return [f"{path}.windows, {path}.quiet_s: {count} given: give one of them"]
+    errors = _zone_errors(plan, path) if plan.windows else []
     spans = [window.span() for window in plan.windows]
     for later, (begin, end) in enumerate(spans):
         if end - begin >= DAY_MIN:
             errors.append(
-                f"{at}.windows[{later}].closes: the same as opens: a run has to be closed before "
+                f"{path}.windows[{later}].closes: the same as opens: a run has to be closed before "
                 "the next one opens"
             )
         for earlier, (first, last) in enumerate(spans[:later]):
             days = (-DAY_MIN, 0, DAY_MIN)
             if any(begin + day < last and first < end + day for day in days):
                 errors.append(
-                    f"{at}.windows[{later}]: overlaps windows[{earlier}]: have one close before "
+                    f"{path}.windows[{later}]: overlaps windows[{earlier}]: have one close before "
                     "the other opens"
                 )
     return errors
 
 
-def _zone_errors(plan: Plan, at: str) -> list[str]:
+def _zone_errors(plan: Plan, path: str) -> list[str]:
     try:
         ZoneInfo(plan.zone)
     except (ZoneInfoNotFoundError, ValueError, OSError):
@@ -173,7 +173,7 @@
             remedy = "this machine has no database of time zones: install tzdata"
         else:
             remedy = "name one such as Europe/Zurich, or UTC"
-        return [f"{at}.zone: {plan.zone!r} is no time zone known here: {remedy}"]
+        return [f"{path}.zone: {plan.zone!r} is no time zone known here: {remedy}"]
     return []
 
 
--- a/badgerseam/slurm/batch_options.py
+++ b/badgerseam/slurm/batch_options.py
@@ -90,9 +90,9 @@
 
 
 def _argument_type(parse: Callable[[str], Any]) -> Callable[[str], Any]:
-    """Converts a value parser to an argparse `type=`, whose messages argparse shows.
+    """Converts a value parser to an argparse `type=`.
 
-    argparse shows only the messages of ArgumentTypeError.
+    It raises ArgumentTypeError, the only exception whose message argparse shows.
     """
 
     def convert(text: str) -> Any:
