--- a/badgerseam/classes/__init__.py
+++ b/badgerseam/classes/__init__.py
@@ -1,1 +1,1 @@
-"""Priority classes: the order of work within a rank, the same on every controller."""
+"""Priority classes: the order of jobs within a rank, which is the same on every controller."""
--- a/badgerseam/classes/arrival_forecast.py
+++ b/badgerseam/classes/arrival_forecast.py
@@ -1,9 +1,9 @@
 """Forecasts which tasks of each class are about to arrive after a takeover, from earlier arrivals.
 
-Arrivals are derived from the jobs' own records, which every controller follows: nothing is written
-for this. Users whose requests failed while a shard had no owner retry a second or more later; the
-arrival rate of a class before that says how many tasks to expect, and what has arrived since is
-subtracted.
+Arrivals are derived from the job records that every controller watches: the forecast writes
+nothing. Users whose requests failed while a shard had no owner retry a second or more later. The
+arrival rate of a class before the shard lost its owner gives the expected number of tasks; tasks
+that have arrived since are subtracted.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from badgerseam.model.state import Arrival
 
 WINDOWS_S = (10.0, 60.0)
-"""Over which arrival rates are measured; the highest rate counts, so that a burst that has just
-begun does."""
+"""Lengths of the windows over which arrival rates are measured. The highest rate is used, so that a
+burst that has just begun is taken into account."""
 MAX_UNOWNED_S = 30.0
-"""A shard that was without an owner for longer before a claim was so for another reason than the
-takeover."""
+"""The longest time without an owner that is attributed to the takeover. A shard that had no owner
+for longer had none for another reason."""
 MAX_DISORDER_S = 5.0
-"""Arrivals are in the order in which they were observed; their times are out of order by no
-more."""
+"""The most by which the times of arrivals are out of order: arrivals are stored in the order in
+which they were observed."""
 MAX_TASKS = 2000
 
 
@@ -35,7 +35,7 @@
     rank: int
     demand: Resources
     spot: bool
-    """They may run on spot machines."""
+    """Whether they may run on spot machines."""
 
 
 ClassOf = Callable[[Arrival], int]
@@ -45,7 +45,8 @@
 def arrival_rates(
     arrivals: Iterable[Arrival], class_of: ClassOf, shard: int, before: float, lowest_class: int
 ) -> dict[TaskKind, float]:
-    """Tasks a second that arrived in a shard before a time, of all classes but the lowest."""
+    """Returns the arrival rates (tasks per second) of a shard before a time, for all classes but
+    the lowest."""
     rates_by_window: dict[TaskKind, list[float]] = {}
     for arrival in arrivals:
         age_s = before - arrival.at
@@ -70,9 +71,10 @@
     since: float,
     until: float,
 ) -> dict[TaskKind, int]:
-    """Tasks of each kind that should arrive between two times and have not arrived yet.
+    """Returns the number of tasks of each kind expected between two times that have not arrived
+    yet.
 
-    `rates`: tasks a second; `recent`: arrivals, the latest first.
+    `rates`: tasks per second; `recent`: arrivals, the latest first.
     """
     arrived: dict[TaskKind, int] = {}
     for arrival in recent:
@@ -83,7 +85,7 @@
             arrived[kind] = arrived.get(kind, 0) + arrival.tasks
     expected = {}
     for kind, rate in rates.items():
-        # Half a task that may arrive is not worth a machine.
+        # Less than half an expected task does not justify reserving a machine.
         tasks = math.floor(rate * (until - since) + 0.5) - arrived.get(kind, 0)
         if tasks > 0:
             expected[kind] = min(tasks, MAX_TASKS)
--- a/badgerseam/classes/capacity_reservation.py
+++ b/badgerseam/classes/capacity_reservation.py
@@ -1,5 +1,5 @@
-"""Reserves capacity of a plan for higher classes: lower classes avoid machines that are needed for
-work which this plan does not place.
+"""Reserves capacity in a plan for higher classes: requests of lower classes avoid machines that are
+needed for higher-class work which this plan does not place.
 
 Pure functions over a snapshot.
 """
@@ -20,23 +20,26 @@
     priority_class: int
     rank: int
     demand: Resources
-    """Of one task."""
+    """The resources that one task needs."""
     spot: bool
-    """They may run on spot machines."""
+    """Whether they may run on spot machines."""
     count: int
     request: pts.Request | None = None
-    """The predicates of their job, if they are of one that waits."""
+    """The request of the waiting job that the tasks belong to, whose predicates apply; None for
+    tasks that are only expected."""
     all_feasible: bool = False
-    """Reserve every machine that fits a task, not only enough of them."""
+    """Whether to reserve every machine that fits a task, instead of only enough for `count`
+    tasks."""
     empty_only: bool = False
-    """Only empty machines are of use: they have to be transferred to another shard."""
+    """Whether to reserve only empty machines, because they have to be transferred to another
+    shard."""
 
 
 def reserve(snapshot: pts.Snapshot, reservations: list[ReservedCapacity]) -> set[int]:
-    """Make the snapshot's requests of lower classes avoid the reserved machines.
+    """Makes the snapshot's requests of lower classes avoid the reserved machines.
 
-    Returns the machines that a request avoids now. A team that claims its guarantee is not held
-    back, and neither is work of a higher rank.
+    Returns the machines that at least one request now avoids. Requests within their team's
+    guarantee and requests of a higher rank are not restricted.
     """
     lowest_class = max((request.priority_class for request in snapshot.requests), default=0)
     reserved: list[tuple[ReservedCapacity, set[int]]] = []
@@ -54,7 +57,7 @@
         for entry, machines in reserved:
             if _yields_to(request, entry):
                 avoided |= machines
-        if avoided and not claims(snapshot, request):
+        if avoided and not is_within_guarantee(snapshot, request):
             avoided_by_any |= avoided
             request = replace(request, avoided_machines=request.avoided_machines | avoided)
         requests.append(request)
@@ -62,21 +65,23 @@
     return avoided_by_any
 
 
-def claims(snapshot: pts.Snapshot, request: pts.Request) -> bool:
-    """Whether a task of the request is within its team's guarantee."""
+def is_within_guarantee(snapshot: pts.Snapshot, request: pts.Request) -> bool:
+    """Whether one more task of the request is within its team's guarantee."""
     team = snapshot.teams[request.team]
     return team.used.plus(request.demand).fits_in(team.guarantee)
 
 
 def _yields_to(request: pts.Request, entry: ReservedCapacity) -> bool:
+    """Whether a request has to avoid the machines of a reservation."""
     if request.priority_class <= entry.priority_class or request.rank > entry.rank:
         return False
-    # High-priority work preempts lower ranks: nothing need be reserved from those.
+    # High-priority work preempts work of lower ranks, so nothing is reserved against them.
     return request.rank == entry.rank or entry.rank < HIGH_RANK
 
 
 def _machines(nodes: list[pts.MachineSnapshot], entry: ReservedCapacity) -> set[int]:
-    """The machines to reserve: enough for the tasks, those with the least free capacity first."""
+    """Returns the machines to reserve: enough for the tasks, starting with those that have the
+    least free capacity."""
     feasible = [node for node in nodes if _is_feasible(node, entry)]
     if entry.all_feasible:
         return {node.index for node in feasible}
--- a/badgerseam/classes/class_record.py
+++ b/badgerseam/classes/class_record.py
@@ -1,9 +1,10 @@
 """Reconciles the record of the site's classes with the options of the controllers.
 
-The leader writes what the options say, once all configured controllers announce the same ones with
-their own records. These lie on leases: at the revision of the write each controller was alive with
-just these options. One that ends, or comes back with others, changes the version of its record, and
-the write fails; so does that of a leader whose claim has gone, however late it is applied.
+The leader writes the classes of the options once all configured controllers announce the same
+options in their own records. Those records are attached to leases, so at the revision of the write
+every controller was running with exactly these options. A controller that ends, or restarts with
+other options, changes the version of its record, so that the write fails. The write of a leader
+that has lost its claim fails in the same way, however late it is applied.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 DEADLINE_S = 2.0
 RETRY_S = 1.0
-"""After a write that failed or whose outcome is unknown."""
+"""The delay after a write that failed or whose outcome is unknown."""
 
 
 def objections(
@@ -36,10 +37,11 @@
     controllers: dict[str, ObservedController],
     include_absent: bool = True,
 ) -> list[Objection]:
-    """The configured controllers whose options do not have the classes of a digest, with reasons.
+    """Returns the configured controllers whose options do not have the classes of a digest, with
+    the reason for each.
 
-    `order`: the names of all configured controllers; `include_absent`: those that are down or cut
-    off count as well.
+    `order`: the names of all configured controllers; `include_absent`: whether controllers that are
+    down or cut off from the state service are included.
     """
     found = []
     for name in order:
@@ -63,12 +65,14 @@
     record: tuple[wire.StoredClasses, int] | None,
     leader: ObservedClaim | None = None,
 ) -> dict[str, int]:
-    """The versions on which a change of the record is conditional: its own, those of the records
-    of all configured controllers, and the leader's claim if the leader writes."""
+    """Returns the versions on which a change of the record is conditional: that of the record
+    itself, those of the records of all configured controllers, and that of the leader's claim if
+    the leader writes."""
     versions = {CLASSES_KEY: 0 if record is None else record[1]}
     if leader is not None:
         versions[LEADER_KEY] = leader.version
-    # An absent controller must not come back with other options meanwhile: no record is version 0.
+    # An absent controller has version 0: the write fails if it has returned, as it may have other
+    # options.
     for name in order:
         controller = controllers.get(name)
         versions[node_key(name)] = 0 if controller is None else controller.version
@@ -76,8 +80,8 @@
 
 
 class ClassRecordKeeper:
-    """Reconciles the site's record of classes with the options, while this controller leads; also
-    sets what operators want."""
+    """Reconciles the site's record of classes with the options while this controller is the leader,
+    and writes classes that operators set."""
 
     def __init__(
         self, model: Model, member: Membership, committer: GroupCommitter, options: ClassesOptions
@@ -94,19 +98,19 @@
         self._tasks = BackgroundTasks()
 
     def is_update_due(self) -> bool:
-        """Whether the options differ from those that the record was last made from.
+        """Whether the options differ from those in force when the record was last written.
 
-        A record that operators have set stands until the options change.
+        A record that an operator has set stays in force until the options change.
         """
         record = self._model.classes
         return record is None or record[0].options != self.digest
 
     def objections(self) -> list[Objection]:
-        """The controllers whose options differ from those of this one."""
+        """Returns the controllers whose options differ from those of this one, with reasons."""
         return objections(self.digest, self._member.order, self._model.controllers)
 
     def review(self) -> None:
-        """Write the record if that is due and nobody objects.
+        """Writes the record if an update is due and no controller's options differ.
 
         Called a few times a second, with the model's lock held.
         """
@@ -116,7 +120,7 @@
         if not self._member.is_leader:
             self._logged_objections = ()
             return
-        # While nothing is to be written, a controller that is down does not object.
+        # While no update is due, a controller that is down is no objection.
         is_due = self.is_update_due()
         found = tuple(
             objections(
@@ -145,7 +149,7 @@
             with model.lock:
                 leader = model.leader_claim
                 if leader is None or self.objections():
-                    # The leader or an objection has changed since the review.
+                    # The leader has changed, or an objection has appeared, since the review.
                     return
                 versions = conditions(member.order, model.controllers, model.classes, leader)
                 changed_at = round(self._clock.wall(), 3)
@@ -157,21 +161,23 @@
             ProposalDroppedError,
             LeaseExpiredError,
         ) as error:
-            # The state watcher shows whether it was applied: nothing is concluded from the error.
+            # The error does not tell whether the write was applied; the state watcher does.
             log.info("class record write failed error=%r", error)
             self._retry_at = self._clock.now() + RETRY_S
         finally:
             self._writing = False
 
     async def set(self, options: ClassesOptions) -> list[Objection]:
-        """Write the classes that an operator has set; returns the controllers that prevent it.
+        """Writes the classes that an operator has set; returns the controllers that prevent the
+        write.
 
-        Raises ConditionFailedError if anything has changed meanwhile, and StateUnavailableError or
-        ProposalDroppedError if the write is not known to be applied.
+        Raises ConditionFailedError if the record or a controller has changed meanwhile, and
+        StateUnavailableError or ProposalDroppedError if it is unknown whether the write was
+        applied.
         """
         model, member = self._model, self._member
         with model.lock:
-            # Controllers that are down read the record when they come back.
+            # A controller that is down prevents nothing: it reads the record when it restarts.
             found = [
                 entry
                 for entry in objections(
--- a/badgerseam/classes/priority_inversions.py
+++ b/badgerseam/classes/priority_inversions.py
@@ -1,9 +1,9 @@
-"""Finds priority inversions of a plan, by the snapshot that it was made from.
+"""Finds priority inversions in a plan, given the snapshot that the plan was made from.
 
-A priority inversion is a start of lower-class work while work of a higher class and of the same
-rank, accepted before it, waits that would have fitted the same capacity. What claims its team's
-guarantee goes first by rule, and classes are those that jobs count as. The planner is not involved:
-the check uses only its result.
+A priority inversion is a start of lower-class work while higher-class work of the same rank, which
+was accepted before it and would have fitted into the same capacity, keeps waiting. Starts within
+their team's guarantee are no inversions, since they go first by rule. Classes are the effective
+ones, after ageing. The check is independent of the planner: it uses only the planner's result.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PriorityInversion:
-    """A start of one job on a machine, and the job that it went ahead of (indices)."""
+    """A start of one job on a machine, and the waiting job that it overtook (all three as
+    indices)."""
 
     job: int
     node: int
@@ -28,9 +29,9 @@
 def find_inversions(
     snapshot: pts.Snapshot, result: pts.Plan, rest: dict[int, int] | None = None
 ) -> list[PriorityInversion]:
-    """The priority inversions of a plan, at most one for each start.
+    """Returns the priority inversions of a plan, at most one for each start.
 
-    `rest`: of each job, tasks that wait beyond those that its request asked for.
+    `rest`: the number of waiting tasks, by job, beyond those in the job's request.
     """
     waiting = Counter(result.waiting)
     waiting.update(rest or {})
@@ -40,17 +41,17 @@
 
 
 class _InversionCheck:
-    """One plan, with its starts that may be priority inversions."""
+    """Checks the starts of one plan that may be priority inversions."""
 
     def __init__(self, snapshot: pts.Snapshot, result: pts.Plan, waiting: list[int]) -> None:
         self._result = result
         self._requests = {request.job: request for request in snapshot.requests}
         self._waiting = [self._requests[job] for job in waiting if job in self._requests]
-        self._starts = self._suspect_starts(snapshot)
+        self._starts = self._candidate_starts(snapshot)
         self._machines = {node.index: node for node in result.nodes}
 
     def inversions(self) -> list[PriorityInversion]:
-        """At most one for each start."""
+        """Returns the priority inversions, at most one for each start."""
         if not self._starts:
             return []
         zones = self._zone_counts()
@@ -64,20 +65,21 @@
                         break
         return inversions
 
-    def _suspect_starts(self, snapshot: pts.Snapshot) -> dict[int, list[pts.Request]]:
-        """By machine, the starts of a lower class than the highest that waits, except those that
-        claim a guarantee."""
+    def _candidate_starts(self, snapshot: pts.Snapshot) -> dict[int, list[pts.Request]]:
+        """Returns, by machine, the starts of a lower class than the highest class that waits,
+        except those within their team's guarantee."""
         highest = min((request.priority_class for request in self._waiting), default=0)
-        claimed = _claimed(snapshot, self._result, self._requests)
-        suspects: dict[int, list[pts.Request]] = {}
-        for start, is_claimed in zip(self._result.starts, claimed, strict=True):
+        within_guarantee = _starts_within_guarantee(snapshot, self._result, self._requests)
+        candidates: dict[int, list[pts.Request]] = {}
+        for start, is_within_guarantee in zip(self._result.starts, within_guarantee, strict=True):
             request = self._requests[start.job]
-            if request.priority_class > highest and not is_claimed:
-                suspects.setdefault(start.node, []).append(request)
-        return suspects
+            if request.priority_class > highest and not is_within_guarantee:
+                candidates.setdefault(start.node, []).append(request)
+        return candidates
 
     def _zone_counts(self) -> dict[int, dict[str, int]]:
-        """Where the tasks of jobs are after the plan, of those that it placed any of."""
+        """Returns the number of tasks in each zone after the plan, for the jobs of which the plan
+        starts tasks."""
         zones: dict[int, dict[str, int]] = {}
         for start in self._result.starts:
             counts = zones.setdefault(start.job, dict(self._requests[start.job].zone_counts))
@@ -92,7 +94,7 @@
         machine: pts.MachineSnapshot,
         zone_counts: dict[str, int],
     ) -> bool:
-        """Whether a start of a request on a machine went ahead of another job's tasks."""
+        """Whether a start of a request on a machine overtook another job's tasks."""
         return (
             _goes_before(other, request)
             and other.demand.fits_in(self._capacity_for(other, machine))
@@ -103,7 +105,8 @@
         )
 
     def _capacity_for(self, other: pts.Request, machine: pts.MachineSnapshot) -> Resources:
-        """What a machine would have free for a job without the starts that went ahead of it."""
+        """Returns the capacity that a machine would have free for a job without the starts that
+        overtook it."""
         capacity = machine.free
         for lower in self._starts.get(machine.index, ()):
             if _goes_before(other, lower):
@@ -118,7 +121,7 @@
         return used.plus(other.demand).fits_in(team.limit)
 
     def _gang_fits(self, gang: pts.Request) -> bool:
-        """Whether a whole gang would have fitted without the starts that went ahead of it."""
+        """Whether a whole gang would have fitted without the starts that overtook it."""
         return self._gang_is_within_limit(gang) and self._gang_has_machines(gang)
 
     def _gang_is_within_limit(self, gang: pts.Request) -> bool:
@@ -147,7 +150,7 @@
 
 
 def _goes_before(other: pts.Request, request: pts.Request) -> bool:
-    """Whether another job comes before a request in the queue, by class."""
+    """Whether another job precedes a request in the queue because of its higher class."""
     return (
         other.rank == request.rank
         and other.priority_class < request.priority_class
@@ -155,25 +158,29 @@
     )
 
 
-def _claimed(
+def _starts_within_guarantee(
     snapshot: pts.Snapshot, result: pts.Plan, requests: dict[int, pts.Request]
 ) -> list[bool]:
-    """Of each start, in order, whether it was within its team's guarantee.
+    """Returns, for each start in order, whether it was within its team's guarantee.
 
-    Earlier starts count as used, the plan's victims do not. A gang is whole within the guarantee
-    with its first task.
+    Earlier starts count towards the team's use; the plan's victims do not. If the first task of a
+    gang is within the guarantee, the whole gang is.
     """
     used = {index: team.used for index, team in snapshot.teams.items()}
     running = {task.key: task for node in snapshot.nodes for task in node.running}
     for stop in result.stops:
         victim = running[stop.key]
         used[victim.team] = used[victim.team].minus(victim.demand)
-    claimed: list[bool] = []
+    within_guarantee: list[bool] = []
     gangs: dict[int, bool] = {}
     for start in result.starts:
         request = requests[start.job]
         used_with_start = used[request.team].plus(request.demand)
-        is_claimed = used_with_start.fits_in(snapshot.teams[request.team].guarantee)
-        claimed.append(gangs.setdefault(start.job, is_claimed) if request.gang else is_claimed)
+        is_within_guarantee = used_with_start.fits_in(snapshot.teams[request.team].guarantee)
+        within_guarantee.append(
+            gangs.setdefault(start.job, is_within_guarantee)
+            if request.gang
+            else is_within_guarantee
+        )
         used[request.team] = used_with_start
-    return claimed
+    return within_guarantee
--- a/badgerseam/classes/rules.py
+++ b/badgerseam/classes/rules.py
@@ -1,9 +1,9 @@
-"""Applies the site's priority classes to plans: the class of each job, and capacity reserved for
-higher classes.
+"""Applies the site's priority classes to plans: the class of each job, and the capacity that is
+reserved for higher classes.
 
-Of higher classes, capacity is reserved for the tasks of large jobs that only the next plan places,
-for what is about to arrive after a takeover, and for what waits in other shards until the leader
-has transferred machines to them.
+Capacity is reserved for tasks of large jobs that only the next plan places, for tasks expected to
+arrive after a takeover, and for tasks that wait in other shards until the leader has transferred
+machines to those shards.
 """
 
 from __future__ import annotations
@@ -30,15 +30,16 @@
 WAITING_CACHE_S = 0.2
 """How long the waiting requests of a shard are cached."""
 MIN_WAIT_S = 0.7
-"""How long work has waited before machines of another shard are reserved for it: until then its own
-shard places it, or its placement is about to be durable."""
+"""How long a job has to wait before machines of another shard are reserved for it. Until then its
+own shard may still place it, or its placement may be about to become durable."""
 MAX_RESERVED_S = 5.0
-"""How long machines are reserved for a job of another shard at a time: the leader plans transfers
-four times a second, and makes one with one write."""
+"""The longest time for which machines are reserved for a job of another shard. It suffices, since
+the leader plans transfers four times a second and makes each with a single write."""
 RESERVATION_PAUSE_S = 20.0
-"""After that, before machines are reserved for the same job again."""
+"""The pause after `MAX_RESERVED_S` before machines are reserved for the same job again."""
 MIN_EXPECTED_TASKS = 0.5
-"""Tasks of a kind that have to be expected for a new leader to be cautious."""
+"""The least number of expected tasks of a kind because of which a new leader delays transfers for
+lower classes."""
 
 
 class _TakeoverRates(NamedTuple):
@@ -56,7 +57,7 @@
 
 
 class _LeaderCaution(NamedTuple):
-    """What a new leader is cautious about; see `ClassRules.cautious_below`."""
+    """The class below which a new leader delays transfers; see `ClassRules.cautious_below`."""
 
     claim_version: int
     since: float
@@ -64,7 +65,7 @@
 
 
 class ClassRules:
-    """Answers the planner and the leader on classes (`sched.planner.ClassPolicy`).
+    """The class policy of the planner and the leader (`sched.planner.ClassPolicy`).
 
     Callers hold the model's lock.
     """
@@ -76,20 +77,21 @@
         self._table: ClassTable | None = None
         self._version = -1
         self._rates: dict[int, _TakeoverRates] = {}
-        """By shard, as are the waiting requests."""
+        """Arrival rates before the latest takeover, by shard."""
         self._waiting_requests: dict[int, _WaitingRequests] = {}
+        """Cached waiting requests, by shard."""
         self._reserved_since: dict[str, float] = {}
-        """By job of another shard, when a reservation for it began."""
+        """When the reservation for a job of another shard began, by job id."""
         self.inversions = 0
-        """Priority inversions in the plans of this controller."""
+        """The number of priority inversions in the plans of this controller."""
         self.plans_with_reservations = 0
-        """Plans in which work of a lower class avoided a reserved machine."""
+        """The number of plans in which work of a lower class avoided a reserved machine."""
         self._caution = _LeaderCaution(0, -math.inf, None)
         model.class_of = self.effective_class
         planner.classes = self
 
     def table(self) -> ClassTable | None:
-        """The classes in force; None before the first record."""
+        """Returns the classes in force; None before the first record."""
         record = self._model.classes
         version = 0 if record is None else record[1]
         if version != self._version:
@@ -100,28 +102,29 @@
         return self._table
 
     def own_class(self, job: Job) -> int:
-        """The class that a job belongs to, without ageing."""
+        """Returns the class that a job belongs to, without ageing."""
         return self.class_of_submission(job.spec)
 
     def class_of_submission(self, spec: Submission) -> int:
-        """The class that a job to be accepted belongs to."""
+        """Returns the class that a submitted job belongs to before it is accepted."""
         table = self.table()
         return 0 if table is None else table.own_class(spec.job_class, spec.team)
 
     def effective_class(self, job: Job) -> int:
-        """The class that a job counts as now, with ageing."""
+        """Returns the current class of a job, with ageing."""
         table = self.table()
         if table is None:
             return 0
         own = table.own_class(job.spec.job_class, job.spec.team)
         if own == 0:
             return 0
-        # Attempts, finished tasks and acceptance are durable: a new owner gets the same.
+        # Attempts, finished tasks and the time of acceptance are durable, so that a new owner
+        # computes the same class.
         started = max(len(job.tries), job.finished + job.live)
         return table.effective_class(own, self._clock.wall() - job.submitted, job.tasks, started)
 
     def class_of_arrival(self, arrival: Arrival) -> int:
-        """The class that an arrival belongs to."""
+        """Returns the class that an arrival belongs to."""
         table = self.table()
         if table is None:
             return 0
@@ -129,9 +132,9 @@
         return table.own_class(arrival.job_class, team)
 
     def reserve_capacity(self, shard: Shard, snapshot: pts.Snapshot, leading: bool = False) -> None:
-        """Reserve machines of a shard for higher classes before a plan is made of it.
+        """Reserves machines of a shard for higher classes before the shard is planned.
 
-        `leading`: for the leader, which only decides which machines could be transferred.
+        `leading`: whether the leader asks, which only decides which machines could be transferred.
         """
         table = self.table()
         if table is None or all(request.priority_class == 0 for request in snapshot.requests):
@@ -148,9 +151,9 @@
             log.debug("capacity reserved shard=%d machines=%d", shard.index, len(machines))
 
     def _for_truncated_requests(self, snapshot: pts.Snapshot) -> list[ReservedCapacity]:
-        """For jobs with so many waiting tasks that a plan places only some of them.
+        """Returns reservations for jobs with so many waiting tasks that one plan places only some.
 
-        The next plan places the others: lower classes must not take their capacity in this one.
+        The next plan places the others, so lower classes must not take their capacity in this plan.
         """
         return [
             ReservedCapacity(
@@ -166,7 +169,7 @@
         ]
 
     def _remaining_tasks(self, snapshot: pts.Snapshot) -> list[tuple[pts.Request, int]]:
-        """The truncated requests, each with the tasks that may start beyond it."""
+        """Returns the truncated requests, each with the number of further tasks that may start."""
         truncated = []
         for request in snapshot.requests:
             if request.count < MAX_STARTS or request.gang:
@@ -184,7 +187,8 @@
         return truncated
 
     def _for_expected_arrivals(self, shard: Shard, table: ClassTable) -> list[ReservedCapacity]:
-        """For what higher classes are about to submit, for a while after a takeover."""
+        """Returns reservations for tasks expected in higher classes, for `max_hold_s` after a
+        takeover."""
         until = shard.owned_since + table.max_hold_s
         if self._clock.now() >= until or len(table.names) < 2:
             return []
@@ -207,7 +211,7 @@
     def _rates_before_takeover(
         self, shard: Shard, table: ClassTable, before: float
     ) -> dict[TaskKind, float]:
-        """The arrival rates of a shard before a time, computed once after each takeover."""
+        """Returns the arrival rates of a shard before a time, computed once after each takeover."""
         cached = self._rates.get(shard.index)
         if cached is None or cached.owned_since != shard.owned_since:
             rates = self._arrival_rates(shard, table, before)
@@ -223,7 +227,8 @@
         )
 
     def _for_other_shards(self, shard: Shard, snapshot: pts.Snapshot) -> list[ReservedCapacity]:
-        """For what waits in other shards: empty machines, until the leader has transferred them."""
+        """Returns reservations of empty machines for requests that wait in other shards, until the
+        leader has transferred machines to those."""
         lowest_class = max(request.priority_class for request in snapshot.requests)
         if not any(node.free == node.total for node in snapshot.nodes):
             return []
@@ -252,7 +257,7 @@
         return reservations
 
     def _may_reserve_for(self, job: Job, now: float) -> bool:
-        """Whether machines may be reserved for a job of another shard now, or in a pause."""
+        """Whether machines may be reserved for a job of another shard now; False during a pause."""
         since = self._reserved_since.setdefault(job.id, now)
         if now - since > MAX_RESERVED_S + RESERVATION_PAUSE_S:
             self._reserved_since[job.id] = now
@@ -260,7 +265,8 @@
         return now - since <= MAX_RESERVED_S
 
     def _waiting(self, shard: Shard, now: float) -> list[pts.Request]:
-        """A shard's requests of all classes but the lowest that have waited for a while."""
+        """Returns a shard's requests, of all classes but the lowest, that have waited for
+        `MIN_WAIT_S` and are within their team's limit."""
         cached = self._waiting_requests.get(shard.index)
         if cached is not None and now - cached.at < WAITING_CACHE_S:
             return cached.requests
@@ -291,8 +297,9 @@
             del self._reserved_since[job_id]
 
     def cautious_below(self) -> int | None:
-        """The class below which a new leader transfers no machines for a while after its first
-        round: the highest one of which arrivals are expected; None if there is none."""
+        """Returns the class below which a new leader transfers no machines for `max_hold_s` after
+        its first round: the highest class of which arrivals are expected, or None if there is
+        none."""
         table, leader = self.table(), self._model.leader_claim
         if table is None or leader is None or len(table.names) < 2:
             return None
@@ -308,7 +315,7 @@
         return self._caution.below if now < self._caution.since + table.max_hold_s else None
 
     def on_plan(self, shard: Shard, snapshot: pts.Snapshot, result: pts.Plan) -> None:
-        """Count the priority inversions of a plan that is about to be carried out."""
+        """Counts the priority inversions of a plan that is about to be carried out."""
         if not result.starts or all(request.priority_class == 0 for request in snapshot.requests):
             return
         remaining = {request.job: count for request, count in self._remaining_tasks(snapshot)}
@@ -331,7 +338,7 @@
         return 0 if job is None else self.effective_class(job)
 
     def waiting(self) -> dict[str, int]:
-        """The number of waiting tasks, by the name of the class that they belong to."""
+        """Returns the number of waiting tasks, by the name of the class that they belong to."""
         table = self.table()
         if table is None or not table.names:
             return {}
