--- a/badgerseam/accounting/__init__.py
+++ b/badgerseam/accounting/__init__.py
@@ -1,1 +1,2 @@
-"""Accounting: what jobs used and how their attempts ended, durable with the jobs' final records."""
+"""Accounting: the resources that jobs used and why their attempts ended, stored in the jobs' final
+records."""
--- a/badgerseam/accounting/accounts.py
+++ b/badgerseam/accounting/accounts.py
@@ -1,10 +1,11 @@
 """The accounts of one controller: meters of open jobs, the history of ended jobs, and the cancelled
 jobs whose summary is still to be written.
 
-A job that is done gets its summary in the transaction that makes it done: the summary exists once,
-or the job is not done. A cancelled job is final before its tasks have left their machines, and any
-controller may have written that; the owner of its shard adds the summary with the least urgency.
-Until then every controller knows that it is missing, so that a new owner writes it.
+The summary of a completed job is written in the transaction that marks the job as done, so that
+there is exactly one summary for each job that is done. A cancelled job's record is final before its
+tasks have left their machines, and any controller may have written it; the owner of its shard adds
+the summary with the least urgency. Until then every controller keeps the job among its unsummarized
+jobs, so that a new owner writes the summary.
 """
 
 from __future__ import annotations
@@ -23,16 +24,21 @@
 from badgerseam.wire.state import StoredJob, StoredMember
 
 UNOBSERVED_INTERVALS = 2.0
-"""Heartbeat intervals without a heartbeat of an attempt before it may have ended unobserved."""
+"""The number of heartbeat intervals without a report of an attempt after which the attempt may have
+ended unobserved."""
 MAX_SUMMARIES_AT_ONCE = 10
-"""Final records of cancelled jobs in one transaction."""
+"""The maximum number of final records of cancelled jobs in one transaction."""
 SECONDS_DIGITS = 3
+"""Decimal places of seconds in records."""
 MONEY_DIGITS = 6
-"""Decimal places in records."""
+"""Decimal places of amounts of money in records."""
 
 
 class JobAccounts:
-    """Follows the model (`model.accounts.JobAccounting`). Callers hold its lock."""
+    """Accounts for the changes of the model (`model.accounts.JobAccounting`).
+
+    Callers hold the model's lock.
+    """
 
     def __init__(self, model: Model, max_jobs: int) -> None:
         self._model = model
@@ -40,14 +46,15 @@
         self.unsummarized: dict[str, UnsummarizedJob] = {}
         """Cancelled jobs without a summary, by id."""
         self.log: AttemptLog | None = None
-        """The log of attempts, if it is on."""
+        """The log of attempts; None if it is switched off."""
         self.loading = False
-        """The records of a shard are being read: attempts that end meanwhile do not count."""
+        """Whether the records of a shard are being read; attempts that end meanwhile do not
+        count."""
 
     # ---- final records ----
 
     def on_final_record(self, job_id: str, stored: StoredJob, version: int) -> None:
-        """A job's final record was observed, or written here."""
+        """Processes a job's final record that was observed, or written by this controller."""
         if stored.usage is not None:
             self.unsummarized.pop(job_id, None)
             self.history.add(job_id, stored.state, stored.tasks, stored.usage)
@@ -60,7 +67,8 @@
                 self.unsummarized[job_id] = UnsummarizedJob(stored, version, shard, usage)
 
     def next_unsummarized(self) -> list[tuple[str, UnsummarizedJob]]:
-        """Some cancelled jobs of owned shards that have left all machines, with their ids."""
+        """Returns up to `MAX_SUMMARIES_AT_ONCE` unsummarized jobs of owned shards that have left
+        all machines, with their ids."""
         ready: list[tuple[str, UnsummarizedJob]] = []
         for job_id, entry in self.unsummarized.items():
             if entry.shard is None or not self._model.shards[entry.shard].owned:
@@ -72,12 +80,13 @@
         return ready
 
     def summarized_record(self, entry: UnsummarizedJob) -> StoredJob:
-        """The final record of a cancelled job with its summary, without its description."""
+        """Returns the final record of a cancelled job with its summary and without its
+        submission."""
         usage = entry.usage
         spec = entry.stored.spec
         if usage is None:
             assert spec is not None
-            # Its owner ended before it wrote the summary: what it measured is lost.
+            # The owner ended before it wrote the summary; its measurements are lost.
             usage = usage_of(spec, entry.stored.accepted_at, None, self._model.clock.wall())
             usage = msgspec.structs.replace(usage, complete=False)
         stored = entry.stored
@@ -88,22 +97,23 @@
     # ---- jobs and attempts ----
 
     def on_job_opened(self, job: Job) -> None:
-        """A job has become known, or its shard is read anew by its new owner."""
+        """Creates the meter of a job that was first observed, or whose shard's new owner reads
+        it."""
         attempts = sum(job.tries.values())
         if job.finished:
-            # A finished task whose row is gone counts as one attempt.
+            # A finished task without a row counts as one attempt.
             attempts += sum(
                 task not in job.tries for task in range(job.tasks) if job.status[task] == FINISHED
             )
         job.meter = AttemptMeter(unmeasured_before=attempts)
 
     def on_attempt_placed(self, attempt: Attempt) -> None:
-        """An attempt has become durable."""
+        """Counts an attempt whose placement has become durable."""
         if attempt.job.meter is not None:
             attempt.job.meter.placed += 1
 
     def on_attempt_ended(self, attempt: Attempt, done: bool) -> None:
-        """An attempt is over."""
+        """Charges and logs an attempt that has ended; `done`: whether its task completed."""
         job, machine = attempt.job, attempt.machine
         if job.meter is None or self.loading or not self._model.shards[job.shard].owned:
             return
@@ -120,7 +130,8 @@
             self.log.add(job.shard, record)
 
     def _price_per_hour(self, attempt: Attempt) -> float:
-        """The price of the part of its machine that an attempt uses; 0 if it is unknown."""
+        """Returns the hourly price of the part of its machine that an attempt uses; 0 if
+        unknown."""
         machine = attempt.machine
         machine_type = self._model.types.get(machine.type)
         if machine_type is None or slots_of(machine.total) <= 0:
@@ -129,25 +140,26 @@
         return price * slots_of(attempt.job.demand) / slots_of(machine.total)
 
     def _charged_until(self, attempt: Attempt, now: float) -> float:
-        """Until when an attempt is charged whose end is known by now.
+        """Returns the time until which an attempt that has ended is charged.
 
-        An attempt on a machine without heartbeats for a while ended at some time meanwhile: it is
-        charged until it was last observed. Charged up to now, a task that had completed, or was
-        lost with its lease, cost seconds that no machine had spent.
+        An attempt that no heartbeat has reported for a while may have ended at any time since then,
+        so it is charged only until it was last observed. If it were charged until now, a task that
+        had completed earlier, or was lost with its lease, would be charged for time that it did not
+        run.
         """
         max_gap_s = UNOBSERVED_INTERVALS * self._model.settings.params.workers.report_s
         is_observed = now - attempt.last_seen_at <= max_gap_s
         return now if is_observed else attempt.last_seen_at
 
     def usage(self, job: Job) -> Usage | None:
-        """The summary of a job that is done."""
+        """Returns the summary of a job that has ended; None if the job has no meter."""
         if job.meter is None:
             return None
         wall = self._model.clock.wall()
         return job.meter.usage(job.spec, job.submitted, job.eligible_at, wall)
 
     def on_job_settled(self, job: Job) -> None:
-        """A cancelled job has left all machines."""
+        """Records the summary of a cancelled job that has left all machines."""
         entry = self.unsummarized.get(job.id)
         if entry is not None and self._model.shards[job.shard].owned:
             entry.usage = self.usage(job)
@@ -161,7 +173,7 @@
     placed_at: float,
     ended_at: float,
 ) -> AttemptRecord:
-    """The log record of an ended attempt; `placed_at` and `ended_at` are times of day."""
+    """Returns the log record of an ended attempt; `placed_at` and `ended_at` are times of day."""
     machine = attempt.machine
     is_evicted = cause == "evicted"
     return AttemptRecord(
--- a/badgerseam/accounting/attempt_ends.py
+++ b/badgerseam/accounting/attempt_ends.py
@@ -6,16 +6,16 @@
 
 
 def seconds_run(attempt: Attempt, now: float) -> float | None:
-    """How long a durable attempt ran; None if that was not observed from its start on."""
+    """Returns how long a durable attempt ran; None if it was not observed from its start on."""
     if attempt.started_at <= 0 or attempt.inherited or attempt.unseen:
-        # Never observed running, or not from its start on; or it may have ended long ago, while
-        # the shard had no owner.
+        # Never observed running, or not from its start on; or the attempt may have ended long ago,
+        # while the shard had no owner.
         return None
     return max(0.0, now - attempt.started_at)
 
 
 def cause_of(attempt: Attempt) -> str:
-    """The cause of the end of an attempt that did not complete, one of `wire.accounting.CAUSES`."""
+    """Returns why an attempt that did not complete ended: one of `wire.accounting.CAUSES`."""
     machine = attempt.machine
     if attempt.error:
         return "error"
--- a/badgerseam/accounting/attempts.py
+++ b/badgerseam/accounting/attempts.py
@@ -1,10 +1,10 @@
-"""The log of attempts: where each one ran, how long, and why it ended.
+"""The log of attempts: the machine and duration of each attempt, and why it ended.
 
-Records are written with the least urgency, many to a value, under keys that sort by time and that
-no controller follows. A record is what one controller has observed of an end; it is true whoever
-owns the shard by the time it is written, so that it depends on no claim. Two owners may have
-observed the end of the same attempt, the first without making it durable: reading returns one
-record, the one that measured the attempt.
+Records are written with the least urgency, many in one value, under keys that sort by time and that
+no controller watches. A record holds one controller's observation of an attempt's end. It stays
+true even if the shard has another owner when it is written, so that the write is conditional on no
+claim. Two owners may observe the end of the same attempt, if the first did not make it durable:
+reading returns only one record of an attempt, preferably one with a measured duration.
 """
 
 from __future__ import annotations
@@ -31,37 +31,38 @@
 
 PREFIX = "ba/"
 MAX_WAITING_RECORDS = 20_000
-"""Records of a shard that wait for their write; further ones are dropped, and counted. (The oldest
-may be in a write already.)"""
+"""The maximum number of records of a shard that wait to be written. Further records are dropped and
+counted, rather than the oldest ones, which may already be part of a write."""
 FILL_FRACTION = 0.9
-"""Of the state service's limit for a value."""
+"""The fraction of the state service's limit for a value that a value may fill."""
 MAX_RECORDS_PER_VALUE = 400
 RECORD_BYTES = 48
-"""The approximate size of a packed record; the size of a value is checked before its write."""
+"""The approximate size of a packed record. The actual size of a value is checked before its
+write."""
 MAX_PAGES_READ = 20
 FLUSHES_PER_TRIM = 60
 MAX_KEYS_TRIMMED = 10
 TRIM_DEADLINE_S = 5.0
 SECONDS_PER_DAY = 86400
 LATE_S = 120.0
-"""How long after its end an attempt's record may be written and still be found by the time of the
-end."""
+"""The longest delay between an attempt's end and the write of its record with which a search by the
+time of the end still finds the record."""
 
 _pack = msgspec.msgpack.Encoder().encode
 _unpack: msgspec.msgpack.Decoder[list[AttemptRecord]] = msgspec.msgpack.Decoder(list[AttemptRecord])
 
 
 class AttemptRecordsError(BadgerseamError, ValueError):
-    """A stored value that is no list of attempt records."""
+    """Raised if a stored value is not a list of attempt records."""
 
 
 def pack(records: list[AttemptRecord]) -> str:
-    """Records as they are stored: msgpack, compressed, in base 85."""
+    """Returns records in their stored form: msgpack, compressed, in base 85."""
     return base64.b85encode(zlib.compress(_pack(records), 6)).decode()
 
 
 def unpack(text: str) -> list[AttemptRecord]:
-    """Stored records; raises AttemptRecordsError if the text is not a list of them."""
+    """Returns stored records; raises AttemptRecordsError if the text is not a list of records."""
     try:
         return _unpack.decode(zlib.decompress(base64.b85decode(text)))
     except (ValueError, zlib.error, msgspec.DecodeError) as error:
@@ -69,9 +70,9 @@
 
 
 def log_key(shard: int, at: float, controller: str, serial: int) -> str:
-    """A key that sorts by time, and that no other controller or write has.
+    """Returns a key that sorts by time and is unique to one write of one controller.
 
-    `at`: a time of day; `serial`: counts the writes of the controller.
+    `at`: a time of day; `serial`: the number of the write at its controller.
     """
     return f"{PREFIX}{shard}/{round(at * 1000):015d}-{controller}-{serial}"
 
@@ -81,7 +82,7 @@
 
 
 class AttemptLog:
-    """Writes the records of this controller, and reads those of all."""
+    """Writes the records of this controller, and reads the records of all controllers."""
 
     def __init__(
         self,
@@ -100,14 +101,14 @@
         self._writing: set[int] = set()
         self._serial = 0
         self.dropped_records = 0
-        """Records that were dropped since too many waited."""
+        """The number of records dropped because too many waited to be written."""
         self._tasks = BackgroundTasks()
 
     def __len__(self) -> int:
         return sum(map(len, self._waiting))
 
     def add(self, shard: int, record: AttemptRecord) -> None:
-        """Queue the record of an attempt that has ended."""
+        """Queues the record of an attempt that has ended."""
         queue = self._waiting[shard]
         if len(queue) >= MAX_WAITING_RECORDS:
             self.dropped_records += 1
@@ -117,7 +118,7 @@
     # ---- writing ----
 
     async def run_forever(self) -> None:
-        """Write queued records and delete old ones, again and again, until cancelled."""
+        """Writes queued records and deletes old ones periodically, until cancelled."""
         flushes = 0
         while True:
             await asyncio.sleep(self._options.log_s)
@@ -127,7 +128,7 @@
                 await self.trim()
 
     def flush(self) -> None:
-        """Start the writes that are due, one at a time for each shard."""
+        """Starts the writes that are due, one at a time for each shard."""
         for shard, queue in enumerate(self._waiting):
             if queue and shard not in self._writing:
                 self._writing.add(shard)
@@ -144,7 +145,7 @@
                 try:
                     await self._committer.commit(Urgency.UPKEEP, {key: 0}, [write])
                 except ConditionFailedError:
-                    # Nobody else writes this key: an earlier attempt of this write was applied.
+                    # No other controller writes this key: an earlier try of this write was applied.
                     log.debug("attempt records already written key=%s", key)
                 for _ in records:
                     queue.popleft()
@@ -154,8 +155,8 @@
             self._writing.discard(shard)
 
     def _next_value(self, queue: deque[AttemptRecord]) -> tuple[list[AttemptRecord], str]:
-        """The oldest records that fit into one value, and that value; they stay queued until it is
-        written."""
+        """Returns the oldest records that fit into one value, and that value. The records stay
+        queued until the value is written."""
         limit = int(self._state.params.value_kb * 1024 * FILL_FRACTION)
         count = min(len(queue), MAX_RECORDS_PER_VALUE, max(1, limit // RECORD_BYTES))
         while True:
@@ -166,7 +167,7 @@
             count = max(1, count * 3 // 4)
 
     async def trim(self) -> None:
-        """Delete values of owned shards that are older than `log_days`, a few at a time."""
+        """Deletes values of owned shards that are older than `log_days`, a few at a time."""
         oldest = self._model.clock.wall() - self._options.log_days * SECONDS_PER_DAY
         for shard in self._model.shards:
             if not shard.owned:
@@ -191,8 +192,10 @@
     async def read(
         self, shard: int, job: str, since: float, until: float
     ) -> tuple[list[AttemptRecord], bool]:
-        """The attempts of a job whose records were written between two times of day, each once, and
-        whether all of that time could be read.
+        """Returns the attempts of a job whose records were written between two times of day, one
+        record each, and whether the entire period could be read.
+
+        Records written up to `LATE_S` after `until` are included.
 
         Raises StateUnavailableError if the state service cannot be read, and AttemptRecordsError
         if a value is malformed.
