--- a/badgerseam/batch/__init__.py
+++ b/badgerseam/batch/__init__.py
@@ -1,6 +1,6 @@
 """Terms of batch jobs: holds, begin times, throttles, dependencies and singletons; and job numbers.
 
-No controller has to act for a term to take effect: terms are part of the job's record, and whether
-they permit a start is derived from records alone. So nothing is lost with a controller, and the end
-of one job releases any number of dependent jobs without a write.
+Terms are part of the job's record, and whether they permit a start is computed from records alone;
+no controller has to act for a term to take effect. No term is therefore lost when a controller
+ends, and the end of one job releases any number of dependent jobs without a write.
 """
--- a/badgerseam/batch/numbers.py
+++ b/badgerseam/batch/numbers.py
@@ -1,9 +1,9 @@
 """Allocates job numbers, and maps numbers to job ids.
 
-Users of the command line type numbers; job ids have the form job-DIGITS, and clients choose them. A
-number stands for the id with these digits. Numbers are allocated from blocks that one controller
-has claimed by a compare-and-swap, so that no two clients ever get the same; a block whose claim got
-no answer, or whose controller ended, leaves a gap.
+Users of the command line enter numbers, while clients choose job ids of the form job-DIGITS; a
+number identifies the job with these digits in its id. Numbers are allocated from blocks, each
+claimed by one controller with a compare-and-swap, so that no two clients ever get the same number.
+A block whose claim got no response, or whose controller ended, leaves a gap.
 """
 
 from __future__ import annotations
@@ -19,36 +19,38 @@
 from badgerseam.wire import state as wire
 
 NUMBERS_KEY = f"{PREFIX}b"
-"""The first number that no controller has claimed."""
+"""The key that holds the first number that no controller has claimed."""
 FIRST_NUMBER = 1_000_000
-"""Numbers below it are left to clients that choose their ids themselves."""
+"""The first number to allocate. Lower numbers are reserved for clients that choose their own
+ids."""
 BLOCK_SIZE = 100
-"""Numbers claimed by one write; writes are the scarcest resource of the state service."""
+"""How many numbers one write claims. A write claims many, since the state service's write rate is
+its scarcest resource."""
 MAX_DIGITS = 18
-"""Of a number in a job id, with leading zeros."""
+"""The maximum number of digits in a job id, including leading zeros."""
 DEADLINE_S = 1.5
-"""Of each request to the state service."""
+"""The deadline of each request to the state service."""
 
 
 def number_id(number: int) -> str:
-    """The job id of an allocated number."""
+    """Returns the job id of an allocated number."""
     return f"job-{number}"
 
 
 class JobNumbers:
-    """Allocates numbers from the blocks of one controller."""
+    """Allocates numbers from the blocks that this controller claims."""
 
     def __init__(self, model: Model, state: StateClient, committer: GroupCommitter) -> None:
         self._model = model
         self._state = state
         self._committer = committer
         self._next = 0
-        """The next number of the current block, which ends before `_end`."""
+        """The next number of the current block; the block ends before `_end`."""
         self._end = 0
         self._lock = asyncio.Lock()
 
     async def allocate(self, count: int) -> list[int]:
-        """So many numbers that no other client gets.
+        """Returns `count` numbers that no other client gets.
 
         Raises StateUnavailableError if no block can be claimed now.
         """
@@ -58,7 +60,7 @@
                 if self._next >= self._end:
                     await self._claim_block()
                 number, self._next = self._next, self._next + 1
-                # A client may have chosen an id with these digits already.
+                # A client may already have chosen an id with these digits.
                 if not self.ids_of(number):
                     allocated.append(number)
         return allocated
@@ -77,13 +79,15 @@
                     DEADLINE_S,
                 )
             except ConditionFailedError:
-                # Another controller has claimed it, or this one has and got no answer: try again.
+                # Another controller has claimed the block, or this controller's own claim was
+                # applied although its response was lost: try again.
                 continue
             self._next, self._end = first, first + BLOCK_SIZE
             return
 
     def ids_of(self, number: int) -> list[str]:
-        """The ids of accepted jobs with this number: with leading zeros there can be several."""
+        """Returns the ids of accepted jobs with this number. Several ids are possible, as they may
+        have leading zeros."""
         digits = str(number)
         ids = [f"job-{digits.zfill(width)}" for width in range(len(digits), MAX_DIGITS + 1)]
         with self._model.lock:
--- a/badgerseam/batch/terms.py
+++ b/badgerseam/batch/terms.py
@@ -12,16 +12,16 @@
 from badgerseam.wire.users import Dependency, Submission, Terms
 
 MAX_DEPENDENCIES_WALKED = 1000
-"""Jobs visited in the search for a cycle."""
+"""The maximum number of jobs visited in the search for a cycle."""
 
 WasAccepted = Callable[[str], Awaitable[bool]]
-"""Whether a job was ever accepted, by the state service."""
+"""Returns whether a job was ever accepted, according to the state service."""
 
 
 class TermsError(BadgerseamError):
-    """Invalid terms; the message names the field and what is wrong with it.
+    """Raised for invalid terms; the message names the field and what is wrong with it.
 
-    `jobs`: the jobs on whose records the refusal depends, besides the one that the terms are of.
+    `jobs`: the jobs on whose records the refusal depends, other than the job with these terms.
     """
 
     def __init__(self, message: str, jobs: frozenset[str] = frozenset()) -> None:
@@ -30,7 +30,10 @@
 
 
 class TermsRules:
-    """Evaluates terms by the observed records. Callers hold the model's lock, but for `check`."""
+    """Evaluates terms against the observed records.
+
+    Callers hold the model's lock, except for `check`.
+    """
 
     def __init__(self, model: Model) -> None:
         self._model = model
@@ -38,7 +41,8 @@
     # ---- for the planner ----
 
     def hold_reason(self, job: Job) -> str | None:
-        """Why no more tasks of a job with terms may start now; None if they may."""
+        """Returns why no more tasks of a job may start now because of its terms; None if they
+        may."""
         reason = self._hold_reason(job)
         if reason in (None, "throttle") and job.eligible_at is None:
             job.eligible_at = self._model.clock.wall()
@@ -63,21 +67,23 @@
         return None
 
     def max_starts(self, job: Job) -> int | None:
-        """How many more tasks a throttle lets start; None without a throttle."""
+        """Returns how many more tasks may start under the job's throttle; None without a
+        throttle."""
         terms = job.spec.terms
         if terms is None or terms.throttle is None:
             return None
         return max(0, terms.throttle - job.live)
 
     def unmet(self, job: Job) -> list[Dependency]:
-        """The dependencies that are not met, including those that never will be."""
+        """Returns the dependencies that are not met, including those that can never be met."""
         terms = job.spec.terms
         if terms is None:
             return []
         return [entry for entry in terms.depends if self._is_met(entry) is not True]
 
     def _are_dependencies_met(self, job: Job, terms: Terms) -> bool | None:
-        """Whether the dependencies are met; False if they never will be, None if they may be."""
+        """Whether the dependencies are met: False if they can never be met, None if they may still
+        be met."""
         if job.dependencies_met:
             return True
         states = [self._is_met(entry) for entry in terms.depends]
@@ -86,12 +92,13 @@
             are_met: bool | None = decisive
         else:
             are_met = None if None in states else not decisive
-        # Jobs that have ended stay so: dependencies that are met once stay met.
+        # The end of a job is final: dependencies that have been met stay met.
         job.dependencies_met = are_met is True
         return are_met
 
     def _is_met(self, entry: Dependency) -> bool | None:
-        """Whether a dependency is met; False if it never will be, None if it may be."""
+        """Whether a dependency is met: False if it can never be met, None if it may still be
+        met."""
         ended = self._model.ended.get(entry.job)
         if ended is None:
             other = self._model.job(entry.job)
@@ -101,7 +108,8 @@
         return (ended[0] == Phase.DONE) == (entry.kind == "afterok")
 
     def _earlier_namesake(self, job: Job) -> Job | None:
-        """The first open job of the same team, user and name that was submitted before."""
+        """Returns the earliest open job of the same team, user and name that was submitted before
+        this one."""
         key = name_key(job)
         own = (job.submitted, job.id)
         earlier = [
@@ -116,7 +124,7 @@
     # ---- for submissions and changes ----
 
     async def check(self, spec: Submission, was_accepted: WasAccepted) -> None:
-        """Raise TermsError if the terms of a job to be accepted are invalid."""
+        """Raises TermsError if the terms of a job to be accepted are invalid."""
         terms = spec.terms
         if terms is None:
             return
@@ -136,11 +144,11 @@
                 raise TermsError(f"{where}: {entry.job} was never submitted")
 
     def cycle_free(self, job_id: str, depends: list[Dependency]) -> dict[str, int]:
-        """The versions, by key, on which new dependencies of an open job are free of cycles.
+        """Returns the versions, by key, under which new dependencies of an open job form no cycle.
 
-        Raises TermsError if they close a cycle. Two changes at two controllers could close one that
-        neither observes: each is conditional on the open jobs that its walk visited, so that the
-        second is refused.
+        Raises TermsError if they close a cycle. Concurrent changes at two controllers could close a
+        cycle that neither controller detects; each write is therefore conditional on the versions
+        of the open jobs that its search visited, so that the second write fails.
         """
         conditions: dict[str, int] = {}
         max_visited = min(
