--- a/badgerseam/runs/__init__.py
+++ b/badgerseam/runs/__init__.py
@@ -1,1 +1,2 @@
-"""Reckoning runs: the states of their members lie in shared state, for the next owner."""
+"""Reckoning runs: the states of their members are kept in the state service, so that a new owner
+can continue a run."""
--- a/badgerseam/runs/counting.py
+++ b/badgerseam/runs/counting.py
@@ -8,44 +8,45 @@
 
 from badgerseam.model.job import Job, Phase
 from badgerseam.model.model import Model
-from badgerseam.runs.run_index import FIRST_ROUND, EndedJob, MemberState, PlanJobs, RunIndex
+from badgerseam.runs.run_index import FIRST_ROUND_PHASES, EndedJob, MemberState, PlanJobs, RunIndex
 
 SLICE = 2000
-"""Members that are counted before the event loop runs other tasks."""
+"""How many members are counted before the event loop may run other tasks."""
 
 
 @dataclass(slots=True)
 class MemberCounts:
-    """The members of a run by state."""
+    """The number of members of a run in each state."""
 
     by_state: Counter[MemberState] = field(default_factory=Counter)
     failed: int = 0
-    """Of the unresolved ones, those that have failed as often as the first round tries them."""
+    """The number of unresolved members that have failed as often as the first round tries a
+    member."""
     revision: int = 0
-    """The revision at which counting began."""
+    """The revision at which the count began."""
 
     @property
     def total(self) -> int:
-        """All members."""
+        """The number of all members."""
         return self.by_state.total()
 
     @property
     def reckoned(self) -> int:
-        """Members that have finished."""
+        """The number of members that have finished."""
         return self.by_state[MemberState.RECKONED]
 
     @property
     def cancelled(self) -> int:
-        """Members of jobs that were cancelled before they had finished."""
+        """The number of members that had not finished when their job was cancelled."""
         return self.by_state[MemberState.CANCELLED]
 
     @property
     def unresolved(self) -> int:
-        """Members that are neither reckoned nor cancelled."""
+        """The number of members that are neither reckoned nor cancelled."""
         return self.total - self.reckoned - self.cancelled
 
     def reasons(self) -> dict[str, int]:
-        """Why members are unresolved, with their numbers: running, placed, failed too often, or
+        """Returns the number of unresolved members by reason: running, placed, failed too often, or
         still waiting."""
         waiting = self.by_state[MemberState.WAITING] + self.by_state[MemberState.DEFERRED]
         reasons = {
@@ -58,10 +59,10 @@
 
 
 async def count(model: Model, run_index: RunIndex, plan: PlanJobs, number: int) -> MemberCounts:
-    """Count the members of a run.
+    """Counts the members of a run.
 
-    A job counts once, as it is when its turn comes. Members are reckoned by the records, not by
-    what an owner has only observed yet.
+    Each job is counted once, in the state that it has when the count reaches it. A member counts as
+    reckoned according to the records, not when its owner has only observed its end.
     """
     counts = MemberCounts()
     with model.lock:
@@ -86,10 +87,10 @@
 
 
 def _add_job(run_index: RunIndex, plan: PlanJobs, job: Job, counts: MemberCounts) -> int:
-    """Count the members of a job; returns the number of steps that it took."""
+    """Counts the members of a job; returns the number of steps that this took."""
     ended = plan.ended.get(job.id)
     if ended is not None:
-        # Since the count began.
+        # The job has ended since the count began.
         _add_ended_job(ended, counts)
         return 1
     reckoned = job.durably_done()
@@ -102,7 +103,7 @@
             remaining -= 1
     failed = run_index.deferred_members(plan, job)
     counts.failed += failed
-    if failed and run_index.phase(plan, job) in FIRST_ROUND:
+    if failed and run_index.phase(plan, job) in FIRST_ROUND_PHASES:
         counts.by_state[MemberState.DEFERRED] += failed
         remaining -= failed
     counts.by_state[MemberState.WAITING] += remaining
@@ -110,10 +111,11 @@
 
 
 def first_round_is_over(run_index: RunIndex, plan: PlanJobs, number: int) -> tuple[bool, int]:
-    """Whether all members of a run's first round are reckoned, cancelled or deferred, and how many
-    are deferred.
+    """Returns whether all members of a run's first round are reckoned, cancelled or deferred, and
+    how many are deferred.
 
-    Takes a step for each job while it is not over, and one for each failed member at its end.
+    Takes at most one step for each job until the round is over, and then one for each failed
+    member.
     """
     deferred = 0
     for job in plan.all_jobs():
@@ -130,7 +132,7 @@
 
 
 def has_begun(plan: PlanJobs, number: int) -> bool:
-    """Whether a member of a run was placed, or has ended."""
+    """Whether any member of a run has been placed, or has ended."""
     return any(
         plan.run_number(job.queue_position) == number and (job.attempts or job.finished)
         for job in plan.all_jobs()
@@ -138,7 +140,8 @@
 
 
 def has_running_members(plan: PlanJobs, number: int) -> bool:
-    """Whether a member of a run may still be on a machine, or has an end that is not durable."""
+    """Whether any member of a run may still be on a machine, or has an end that is not durable
+    yet."""
     return any(
         job.phase == Phase.OPEN and job.attempts and plan.run_number(job.queue_position) == number
         for job in plan.all_jobs()
--- a/badgerseam/runs/rules.py
+++ b/badgerseam/runs/rules.py
@@ -1,4 +1,4 @@
-"""Start rules of reckoning runs: which members may start now, how many, and in which order."""
+"""Start rules of reckoning runs: which members may start, how many of them, and in which order."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 from badgerseam.runs.run_index import PlanJobs, RunIndex
 
 ESTIMATE_WEIGHT = 1e-3
-"""Estimates only order the jobs of a run among each other: an hour counts as some seconds of
-waiting."""
+"""The weight of an estimated duration relative to waiting time. Estimates are only to order jobs of
+the same run: an hour of estimated duration counts as 3.6 seconds of waiting."""
 
 
 class RunStartRules:
-    """Answers the planner on runs (`sched.planner.RunPolicy`).
+    """The run policy of the planner (`sched.planner.RunPolicy`).
 
-    Takes a step or two for each job; a round of a plan with a limit sorts its jobs once. Callers
-    hold the model's lock.
+    Each call takes one or two steps per job; a planning round for a plan with a limit also sorts
+    the plan's jobs once. Callers hold the model's lock.
     """
 
     def __init__(self, run_index: RunIndex) -> None:
         self._run_index = run_index
         self._allowed: dict[tuple[str, int], dict[int, int]] = {}
-        """How many members of each job may start in this round, by plan and shard; of plans with a
-        limit."""
+        """For plans with a limit, how many members of each job may start in this round: by plan and
+        shard, then by job index."""
 
     def begin_round(self, shard: int, now: float) -> None:
-        """A planning round begins for a shard: divide among jobs what the limits of plans leave."""
+        """Begins a planning round of a shard: divides the remaining limit of each plan among its
+        jobs."""
         if not self._run_index.is_active:
             return
         for name, plan in self._run_index.plans.items():
@@ -35,7 +36,7 @@
                 self._allowed[name, shard] = self._divide(plan, shard, limit, now)
 
     def _divide(self, plan: PlanJobs, shard: int, limit: int, now: float) -> dict[int, int]:
-        """How many members of each job may start under a limit, by job index."""
+        """Returns how many members of each job may start under a limit, by job index."""
         counter = plan.counters.get(shard)
         remaining = limit - (0 if counter is None else counter.live)
         allowed: dict[int, int] = {}
@@ -43,12 +44,12 @@
             return allowed
         for job in self._jobs_in_order(plan, shard):
             if now < job.retry_at or (job.is_failing and job.attempts):
-                # Its backoff holds it back anyway, and it leaves its part to others.
+                # The job's backoff holds it back anyway; the rest of the limit goes to other jobs.
                 allowed[job.index] = 1
                 continue
             count = self._run_index.startable(plan, job)
             if job.is_gang:
-                # A gang that is larger than the limit would never start: it runs alone.
+                # A gang larger than the limit would never start otherwise: it may run alone.
                 count = count if count <= remaining or remaining == limit else 0
             else:
                 count = min(1 if job.is_failing else count, remaining)
@@ -59,7 +60,7 @@
         return allowed
 
     def _jobs_in_order(self, plan: PlanJobs, shard: int) -> list[Job]:
-        """The jobs of a plan in a shard with members that may start, in the order of the queue."""
+        """Returns the jobs of a plan in a shard with members that may start, in queue order."""
         jobs = [
             job
             for job in plan.jobs.get(shard, {}).values()
@@ -69,7 +70,8 @@
         return jobs
 
     def _run_hold_reason(self, plan: PlanJobs, job: Job) -> str | None:
-        """Why a job's run lets no more of its members start, apart from a limit; or None."""
+        """Returns why a job's run permits no more of its members to start, apart from a limit; None
+        if it permits them."""
         phase = self._run_index.phase(plan, job)
         if phase is None:
             return "run_not_open"
@@ -81,7 +83,7 @@
         return None
 
     def hold_reason(self, job: Job) -> str | None:
-        """Why no more of the job's tasks start now; None if they may."""
+        """Returns why no more of the job's tasks may start now; None if they may."""
         plan = self._run_index.plan_jobs(job)
         if plan is None or not self._run_index.is_active:
             return None
@@ -96,7 +98,7 @@
         return self._allowed.get((plan.plan.name, job.shard), {}).get(job.index, 0)
 
     def max_starts(self, job: Job) -> int | None:
-        """How many tasks of a job may start in this round; None: as many as wait."""
+        """Returns how many tasks of a job may start in this round; None if all that wait may."""
         if not self._run_index.is_active:
             return None
         plan = self._run_index.plan_jobs(job)
@@ -107,8 +109,8 @@
         return self._allowance(plan, job)
 
     def order_time(self, job: Job) -> float | None:
-        """The time of day by which the job is ordered among others of its rank, the earliest first;
-        None if its plan does not change the order."""
+        """Returns the time of day by which the job is ordered among jobs of its rank, the earliest
+        first; None if its plan does not change the order."""
         plan = self._run_index.plan_jobs(job)
         if plan is None or plan.plan.first == "deadline" or not self._run_index.is_active:
             return None
--- a/badgerseam/runs/run_lifecycle.py
+++ b/badgerseam/runs/run_lifecycle.py
@@ -1,10 +1,11 @@
-"""The lifecycle of runs: the leader opens, advances and closes each exactly once.
-
-A run's record is a chain of writes, each conditional on the version of the one before (0 for its
-first, which is also conditional on the closed run before it) and on the version of the leader's
-claim. So of two leaders that decide the same, or of a deposed leader whose write is applied minutes
-late, one succeeds; and a controller that was suspended over the close finds the run's key taken, or
-another version. Nothing is concluded from an answer: the state watcher shows what was written.
+"""The lifecycle of runs: the leader opens, advances and closes each run exactly once.
+
+The record of a run is written in a chain: each write is conditional on the version of the previous
+write and on the version of the leader's claim. The first write expects version 0, and is also
+conditional on the record of the previous, closed run. If two leaders decide the same transition, or
+a deposed leader's write is applied minutes late, only one write succeeds; and the write of a
+controller that was suspended while the run was closed fails, because the key exists or has another
+version. Responses to writes are not relied upon: the state watcher shows what was written.
 """
 
 from __future__ import annotations
@@ -30,7 +31,8 @@
 STEP_INTERVAL_S = 0.5
 DEADLINE_S = 5.0
 MAX_WRITE_DELAY_S = 1.0
-"""How long a transition waits behind ends of jobs: until a run opens, all of its members wait."""
+"""How long a transition may wait behind the writes of ended jobs before it is promoted. The time is
+short, since all members of a run wait until the run opens."""
 
 WRITE_ERRORS = (
     ConditionFailedError,
@@ -38,11 +40,12 @@
     ProposalDroppedError,
     LeaseExpiredError,
 )
-"""A transition that failed with one of these is decided anew, by what is observed then."""
+"""Errors after which a transition is decided again, from the state observed by then."""
 
 
 class RunLifecycle:
-    """Writes, on the leader, the next phase of each plan's run when it is due."""
+    """Writes the next phase of each plan's run when it is due, while this controller is the
+    leader."""
 
     def __init__(
         self, model: Model, member: Membership, committer: GroupCommitter, run_index: RunIndex
@@ -54,13 +57,13 @@
         self.index = run_index
 
     async def run_forever(self) -> None:
-        """Make the transitions that are due, again and again, until cancelled."""
+        """Makes due transitions periodically, until cancelled."""
         while True:
             await asyncio.sleep(STEP_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
-        """Make the transition that each plan needs now, if any."""
+        """Makes the due transition of each plan, if any."""
         for plan in self.index.plans.values():
             with self._model.lock:
                 change = self._due_transition(plan)
@@ -84,9 +87,9 @@
         record: wire.StoredRun,
         wanted: Callable[[], bool] | None = None,
     ) -> bool:
-        """Make a phase of a run durable; returns whether that is known to have succeeded.
+        """Writes a phase of a run; returns whether the write is known to have succeeded.
 
-        `wanted`: the write is dropped once this is false.
+        `wanted`: the write is dropped once this returns false.
         """
         name = plan.plan.name
         key = run_key(name, number)
@@ -118,7 +121,9 @@
         return True
 
     def _conditions(self, plan: PlanJobs, number: int) -> dict[str, int] | None:
-        """The versions on which a run's next phase is conditional; None if it is outdated."""
+        """Returns the versions on which a run's next phase is conditional; None if this controller
+        must not write the phase: it observes no leader, may not act at the site's level, or the run
+        is neither the latest nor the next one."""
         model = self._model
         leader = model.leader_claim
         if leader is None or not model.is_supported:
@@ -138,7 +143,11 @@
     # ---- due transitions ----
 
     def _due_transition(self, plan: PlanJobs) -> tuple[int, wire.StoredRun] | None:
-        """The number of a run and its record that is to be written now; the lock is held."""
+        """Returns the number of the run whose record is to be written now, and the record; None if
+        no transition is due.
+
+        The caller holds the model's lock.
+        """
         model = self._model
         if not self._member.is_leader or not model.loaded or not self.index.is_active:
             return None
@@ -148,7 +157,8 @@
             window = self._window_to_open(plan, wall)
             return None if window is None else (number + 1, self._opened(window, wall))
         if record.phase == "closing":
-            # Members accepted before the cut are counted: all up to it has to be applied.
+            # The count includes all members accepted before the cutoff, so the model has to have
+            # applied all changes up to it.
             is_grace_over = wall >= record.at + plan.plan.grace_s
             has_ended = is_grace_over or not has_running_members(plan, number)
             if model.revision < plan.version or not has_ended:
@@ -165,20 +175,20 @@
         return None
 
     def _opened(self, window: RunWindow, wall: float) -> wire.StoredRun:
-        """The record of a run that opens now."""
+        """Returns the record of a run that opens now."""
         now = round(wall, 3)
         return wire.StoredRun("open", now, window.opens, window.closes, self._member.node, now)
 
     def closing(self, record: wire.StoredRun) -> wire.StoredRun:
-        """The record of a run that accepts no more members, and starts none."""
+        """Returns the record of a run that accepts no more members and starts none."""
         return self._next(record, "closing")
 
-    def _next(self, record: wire.StoredRun, phase: str, cut: int = 0) -> wire.StoredRun:
+    def _next(self, record: wire.StoredRun, phase: str, cutoff: int = 0) -> wire.StoredRun:
         wall, node = round(self._clock.wall(), 3), self._member.node
-        return wire.StoredRun(phase, record.opened, record.slot, record.closes, node, wall, cut)
+        return wire.StoredRun(phase, record.opened, record.slot, record.closes, node, wall, cutoff)
 
     def _window_to_open(self, plan: PlanJobs, wall: float) -> RunWindow | None:
-        """The window of the plan's next run, if that is to be opened now."""
+        """Returns the window of the plan's next run if that run is to be opened now, else None."""
         options, last = plan.plan, plan.record
         if options.after is not None and self._is_busy(self.index.plans[options.after], wall):
             return None
@@ -190,7 +200,7 @@
         return None
 
     def _is_busy(self, plan: PlanJobs, wall: float) -> bool:
-        """Whether a plan has a run that is not closed, or one to be opened now."""
+        """Whether a plan has a run that is not closed, or a run to be opened now."""
         return plan.is_open or self._window_to_open(plan, wall) is not None
 
     def _is_quiet(self, plan: PlanJobs, record: wire.StoredRun, wall: float) -> bool:
@@ -206,7 +216,7 @@
 
 
 def _counts_for_log(record: wire.StoredRun) -> str:
-    """The counts of a closed run as key=value; empty for another phase."""
+    """Returns the counts of a closed run as key=value pairs; empty for other phases."""
     if record.phase != "closed":
         return ""
     reckoned, cancelled, unresolved = record.counts
--- a/badgerseam/runs/windows.py
+++ b/badgerseam/runs/windows.py
@@ -1,4 +1,4 @@
-"""The daily windows of a plan, and the one for which a run is due."""
+"""The daily windows of a plan, and the window for which a run is due."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from badgerseam.options.runs import Plan, minutes
 
 MAX_MISSED_DAYS = 31
-"""Windows that no controller was up for are recorded for so many days back."""
+"""The number of past days for which windows are recorded that were missed because no controller was
+running."""
 
 
 class RunWindow(NamedTuple):
@@ -21,10 +22,10 @@
 
 
 def windows(plan: Plan, first: datetime.date, last: datetime.date) -> Iterator[RunWindow]:
-    """The windows that open on these days (by the plan's zone), in order.
+    """Yields the windows that open on these days (in the plan's time zone), in order.
 
-    Each day has each window once: a time that a change to summer time skips is taken as the one
-    after it, and one that occurs twice as the first of the two.
+    Each day has each window once. A time that is skipped by the change to summer time is moved by
+    the length of the gap; of a time that occurs twice, the first occurrence is used.
     """
     zone = ZoneInfo(plan.zone)
     ordered = sorted(plan.windows, key=lambda window: window.opens)
@@ -39,18 +40,19 @@
 
 
 def _at(day: datetime.date, clock: str, zone: ZoneInfo) -> float:
-    """A time of day such as 22:00 in seconds since 1970."""
+    """Returns a time of day, such as 22:00, on a day as seconds since 1970."""
     time = datetime.time.fromisoformat(clock)
     return datetime.datetime.combine(day, time, zone).timestamp()
 
 
 def due_window(plan: Plan, wall: float, latest: RunWindow | None) -> RunWindow | None:
-    """The window for which a run is to be opened now; `latest`: that of the plan's latest run.
+    """Returns the window for which a run is to be opened now, or None; `latest`: the window of the
+    plan's latest run.
 
-    After a run, every window that has opened since, the earliest first, including those that no
-    controller was up for: no night is left out. Of a plan without a run only a window that is open.
-    A window that opens before the latest run's window closes is not another night, even if the
-    options have changed meanwhile.
+    If the plan has a run, every window that has opened since is due, the earliest first, including
+    windows during which no controller was running, so that no window is skipped. If the plan has no
+    run, only a window that is open now is due. A window that opens before the latest run's window
+    closes is not a new one, even if the options have changed meanwhile.
     """
     today = datetime.datetime.fromtimestamp(wall, ZoneInfo(plan.zone)).date()
     days = MAX_MISSED_DAYS if latest is not None else 1
