--- a/badgerseam/replicas/__init__.py
+++ b/badgerseam/replicas/__init__.py
@@ -1,1 +1,2 @@
-"""Replicas that span machines: their members are placed, repaired, moved and stopped together."""
+"""Replicas that span machines: the members of a replica are placed, repaired, moved and stopped
+together."""
--- a/badgerseam/replicas/drain_delay.py
+++ b/badgerseam/replicas/drain_delay.py
@@ -1,4 +1,4 @@
-"""How long members of replicas stay on machines that are draining."""
+"""Decides how long members of replicas stay on machines that are draining."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 
 
 class DrainDelay:
-    """Gives a replica time to move whole before its member on a draining machine is stopped."""
+    """Delays the stop of a member on a draining machine, so that its replica can be moved first."""
 
     def __init__(self, model: Model) -> None:
         self._model = model
         self._draining_since: dict[int, float] = {}
-        """Of machines that drain without a reclaim notice."""
+        """When each machine that drains without a reclaim notice began to drain, by machine
+        index."""
 
     def may_stay(self, attempt: Attempt, rules: ReplicaClass) -> bool:
-        """Whether a member stays on its draining machine for now."""
+        """Whether a member may stay on its draining machine for now."""
         job, machine = attempt.job, attempt.machine
         now = self._model.clock.now()
         if machine.reclaim_at is not None:
-            # A notice shorter than the move: the member is stopped in time for its checkpoint, and
-            # the replica is repaired.
+            # If the reclaim comes before the move is done, the member is stopped in time to write
+            # its checkpoint, and the replica is repaired.
             checkpoint_s = job.spec.save_s if job.spec.checkpoint_s > 0 else 0.0
             return now < machine.reclaim_at - checkpoint_s - SAVE_SLACK_S
         if len(self._draining_since) > 2 * len(self._model.machines):
--- a/badgerseam/replicas/moves.py
+++ b/badgerseam/replicas/moves.py
@@ -1,4 +1,5 @@
-"""Moves of replicas: whether one may begin, what it has reserved, and whether that can be used."""
+"""Moves of replicas: whether a move may begin, which machines it reserves, and whether these can be
+used."""
 
 from __future__ import annotations
 
@@ -13,7 +14,10 @@
 
 
 class ReplicaMoves:
-    """The conditions and reservations of moves. Callers hold the model's lock."""
+    """Checks the conditions of moves, and makes their reservations.
+
+    Callers hold the model's lock.
+    """
 
     def __init__(
         self,
@@ -28,7 +32,7 @@
         self._observer = observer
 
     def may_move(self, entry: ReplicatedJob, replica: ReplicaState) -> bool:
-        """Whether the job's rules permit that this replica is down for a move now."""
+        """Whether the job's rules permit this replica to be down for a move now."""
         others = len(entry.moving - {replica.number})
         return others < entry.shape.rules.moves and self._model.is_active(Behaviour.NOTES)
 
@@ -41,7 +45,7 @@
         return rows is not None and job.notes.get(key) in rows.notes
 
     def reserve_targets(self, entry: ReplicatedJob, replica: ReplicaState) -> None:
-        """Reserve the machines that a replica's intent names, as far as they still exist."""
+        """Reserves the machines named by a replica's intent that still exist in the job's shard."""
         shard = entry.job.shard
         machines = [
             machine.index
@@ -52,12 +56,12 @@
         entry.moving.add(replica.number)
 
     def is_reservation_usable(self, entry: ReplicatedJob, replica: ReplicaState) -> bool:
-        """Whether every machine that a move has reserved can still be used."""
+        """Whether every machine reserved for a move can still be used."""
         now = self._model.clock.now()
         targets = self._targets(replica)
         reserved = self._reservations.machines_for(entry.key(replica.number))
-        # After a takeover no heartbeat of them has arrived yet, which is no reason to abandon a
-        # move.
+        # After a takeover the new owner has received no heartbeats of these machines yet; a move is
+        # not abandoned for that.
         return len(reserved) == len(targets) > 0 and all(
             machine is not None
             and self._planner.unusable_reason(machine, now) in (None, "not_heard")
--- a/badgerseam/replicas/observed_state.py
+++ b/badgerseam/replicas/observed_state.py
@@ -1,4 +1,4 @@
-"""Observes the members of replicas: where they are, and whether their machines answer."""
+"""Observes the members of replicas: their stages, and whether their machines send heartbeats."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from badgerseam.replicas.reservations import Reservations
 
 UNRESPONSIVE_INTERVALS = 3
-"""Heartbeat intervals without a heartbeat after which a machine counts as unresponsive."""
+"""The number of heartbeat intervals without a heartbeat after which a machine is unresponsive."""
 HEARTBEAT_SLACK_S = 0.5
-"""Added to these intervals for a heartbeat that is on its way."""
+"""Added to these intervals to allow for the delay of a heartbeat in transit."""
 
 
 class MemberObserver:
-    """Reads the model; changes only the record of the machine that each member was last on.
+    """Observes members in the model, and records the machine that each member was last on.
 
     Callers hold the model's lock.
     """
@@ -28,16 +28,17 @@
         self._timeout_s = UNRESPONSIVE_INTERVALS * interval_s + HEARTBEAT_SLACK_S
 
     def unresponsive_at(self, machine: AttemptHost) -> float:
-        """When a machine counts as unresponsive if it sends no heartbeat until then."""
+        """Returns when a machine becomes unresponsive unless it sends a heartbeat before."""
         return max(machine.last_heartbeat_at, machine.owned_since) + self._timeout_s
 
     def is_unresponsive(self, machine: AttemptHost) -> bool:
-        """Whether nothing is certain of what is on a machine."""
+        """Whether the state of the tasks on a machine is unknown."""
         now = self._model.clock.now()
         return machine.lost or machine.given_up or now >= self.unresponsive_at(machine)
 
     def is_evacuated(self, job: Job, tasks: range) -> bool:
-        """Whether the machine of one of these members is evacuated for work of another shard."""
+        """Whether the machine of any of these members is being evacuated for work of another
+        shard."""
         return any(
             attempt.machine.evacuate_to is not None
             for task in tasks
@@ -47,7 +48,8 @@
     def observe(
         self, job: Job, tasks: range, durable: bool, reservation_usable: bool, may_move: bool
     ) -> ObservedMembers:
-        """The members as they are now; the last three are those of `ObservedMembers`."""
+        """Returns the current state of the members; the last three arguments are the attributes of
+        `ObservedMembers` with these names."""
         unfinished = [task for task in tasks if job.status[task] != FINISHED]
         attempts = {
             task: attempt for task in unfinished if (attempt := job.attempts.get(task)) is not None
--- a/badgerseam/replicas/phases.py
+++ b/badgerseam/replicas/phases.py
@@ -1,8 +1,8 @@
-"""The phases of a replica: its intent, what is observed of its members, and the next decision.
+"""The phases of a replica: its intent, the observed state of its members, and the next decision.
 
 `decide` is a pure function of the current state (level-triggered, not edge-triggered): a new owner
-that has read a replica's note and its rows continues from there, whatever the owner before it had
-done or had only begun.
+that has read a replica's note and rows can continue from them, whatever the previous owner had
+completed or only begun.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 
 class ReplicaPhase(IntEnum):
-    """The phase of a replica; the numbers are stored."""
+    """The phase of a replica; the numeric values are stored."""
 
     WAITING = 0
-    """None of its members has a machine."""
+    """No member has a machine."""
     FORMING = 1
-    """All members have a machine, and start."""
+    """Members are being placed, and start once all of them are placed."""
     UP = 2
     """All members run, on machines that send heartbeats."""
     DEGRADED = 3
-    """Members are missing, or cannot be reached."""
+    """Members are missing, or their machines send no heartbeats."""
     REPAIRING = 4
-    """The missing members have a machine, and start."""
+    """The members that were missing have machines again, and start."""
     MOVING = 5
-    """Capacity is reserved for members that leave their machines."""
+    """Members leave their machines for others, on which capacity is reserved."""
     STOPPING = 6
-    """All members are stopped, and their capacity is released."""
+    """All members are being stopped, to release their capacity."""
 
 
 REPLICA_PHASE_NAMES = {
@@ -51,49 +51,50 @@
 
     phase: ReplicaPhase = ReplicaPhase.WAITING
     generation: int = 0
-    """Rises whenever the replica is started anew."""
+    """Incremented whenever the replica as a whole is started again."""
     began_at: float = 0.0
-    """When the phase began, on the owner's clock; 0 if unknown. For DEGRADED and REPAIRING: since
-    when the replica is not up, so that repeated losses do not postpone its end."""
+    """When the phase began, on the owner's clock; 0 if unknown. For DEGRADED and REPAIRING: when
+    the replica ceased to be up, so that repeated losses do not postpone the timeout."""
     members: frozenset[int] = NO_MEMBERS
-    """The members that the phase is about: missing, or moved."""
+    """The members to which the phase applies: those that are missing, or those that are moved."""
     targets: tuple[str, ...] = ()
-    """Of a move: the machine that is reserved for each member, in order of their numbers."""
+    """The machine that a move has reserved for each member, in the order of the members'
+    numbers."""
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedMembers:
-    """What is known of the members now.
+    """The current state of the members, as the owner observes it.
 
     Invariant: every member that is not finished is in exactly one of `absent`, `planned`, `placed`
     and `running`.
     """
 
     absent: frozenset[int] = NO_MEMBERS
-    """Certainly on no machine."""
+    """Those that are certainly on no machine."""
     planned: frozenset[int] = NO_MEMBERS
-    """Their placement is not durable yet."""
+    """Those whose placement is not durable yet."""
     placed: frozenset[int] = NO_MEMBERS
-    """Their placement is durable; no heartbeat has shown them running."""
+    """Those whose placement is durable, and which no heartbeat has reported as running."""
     running: frozenset[int] = NO_MEMBERS
-    """A heartbeat has shown them running."""
+    """Those that a heartbeat has reported as running."""
     unseen: frozenset[int] = NO_MEMBERS
-    """Of `placed`: placed by an earlier owner, which may have observed them running."""
+    """Those of `placed` that an earlier owner placed, and may have observed running."""
     stopping: frozenset[int] = NO_MEMBERS
-    """Of those with a machine: a stop is sent, or is to be sent."""
+    """Those with a machine for which a stop command has been or is to be sent."""
     unresponsive: frozenset[int] = NO_MEMBERS
-    """Of those with a machine: it sends no heartbeats, so that nothing is certain of them."""
+    """Those whose machine sends no heartbeats, so that their state is unknown."""
     draining: frozenset[int] = NO_MEMBERS
-    """Of those with a machine: it is draining, and sends heartbeats."""
+    """Those whose machine is draining and sends heartbeats."""
     durable: bool = True
-    """The state service holds the intent."""
+    """Whether the state service holds the intent."""
     reservation_usable: bool = True
-    """Every machine that a move has reserved can still be used."""
+    """Whether every machine that a move has reserved can still be used."""
     since: float = 0.0
-    """When this owner took over the shard: timeouts begin no sooner, as the owner has to receive
-    heartbeats of the members first."""
+    """When this owner took over the shard. Timeouts begin no earlier, since the owner first has to
+    receive heartbeats that report the members."""
     may_move: bool = True
-    """One more replica of the job may be down for a move."""
+    """Whether one more replica of the job may be down for a move."""
 
     @property
     def present(self) -> frozenset[int]:
@@ -107,12 +108,13 @@
 
     @property
     def all_placed(self) -> bool:
-        """Whether the placement of every member is durable: none of them would start alone."""
+        """Whether the placement of every member is durable, so that no member would start alone."""
         return not self.absent and not self.planned
 
     @property
     def all_running(self) -> bool:
-        """Whether every member runs undisturbed, on a machine that sends heartbeats."""
+        """Whether every member runs and is not being stopped, on a machine that sends
+        heartbeats."""
         return self.all_placed and not (self.placed or self.stopping or self.unresponsive)
 
     @property
@@ -123,54 +125,55 @@
 
 @dataclass(frozen=True, slots=True)
 class PhaseTimeouts:
-    """Seconds that phases may take."""
+    """Timeouts of phases, in seconds."""
 
     form_s: float
+    """How long FORMING and MOVING may take; REPAIRING may take this in addition to `degraded_s`."""
     degraded_s: float
+    """How long a replica may be DEGRADED before it is stopped."""
     pause_s: float = 2.0
-    """Backoff after a start that failed: other work may use the capacity meanwhile."""
+    """The backoff after a failed start, during which other work may use the capacity."""
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """The intent as it has to be now, and the actions that follow from it."""
+    """The new intent, and the actions that follow from it."""
 
     intent: Intent
     to_place: frozenset[int] = NO_MEMBERS
-    """Members that need machines, all of them or none."""
+    """Members to be placed on machines, all of them or none."""
     to_reserve: frozenset[int] = NO_MEMBERS
     """Members for which capacity is to be reserved while they run."""
     stop: frozenset[int] = NO_MEMBERS
-    """Members that are to be stopped."""
+    """Members to be stopped."""
     launch: bool = False
-    """Members with a machine may be launched."""
+    """Whether members with a machine may be launched."""
     move_into_reservation: bool = False
-    """All moved members are to be placed on the reserved machines, in one write."""
+    """Whether all moved members are to be placed on the reserved machines, in one write."""
     due: float | None = None
     """When to decide again if nothing changes."""
 
 
 class _Situation(NamedTuple):
-    """What a decision is made on, apart from the intent."""
+    """The inputs of a decision, apart from the intent."""
 
     observed: ObservedMembers
     timeouts: PhaseTimeouts
     now: float
 
     def deadline(self, intent: Intent, timeout_s: float) -> float:
-        """When a phase of the intent times out."""
-        # A new owner knows running members only from their heartbeats: with the timeout of the
-        # owner before it, a replica that had long been up was stopped by the first review after a
-        # takeover.
+        """Returns when the phase of the intent times out."""
+        # A new owner learns only from heartbeats which members run. If the timeout began before the
+        # takeover, the first review after it would stop a replica that had long been up.
         return max(intent.began_at, self.observed.since) + timeout_s
 
 
 def decide(
     intent: Intent, observed: ObservedMembers, timeouts: PhaseTimeouts, now: float
 ) -> Decision:
-    """The decision at a time (seconds on the owner's clock).
+    """Returns the decision at time `now`, in seconds on the owner's clock.
 
-    Idempotent: the decision's own intent gives the same decision again.
+    Idempotent: deciding again with the decision's intent gives the same decision.
     """
     situation = _Situation(observed, timeouts, now)
     for _ in range(len(ReplicaPhase) + 1):
@@ -182,12 +185,12 @@
 
 
 def _enter(intent: Intent, phase: ReplicaPhase, began_at: float) -> Decision:
-    """The transition to a phase that is about no particular members."""
+    """Returns the transition to a phase that applies to no particular members."""
     return Decision(replace(intent, phase=phase, began_at=began_at, members=NO_MEMBERS))
 
 
 def _start_anew(intent: Intent, now: float) -> Decision:
-    """The transition to FORMING, as a new generation."""
+    """Returns the transition to FORMING as a new generation."""
     return Decision(
         replace(intent, phase=ReplicaPhase.FORMING, generation=intent.generation + 1, began_at=now)
     )
@@ -208,7 +211,7 @@
     if observed.all_running:
         return _enter(intent, ReplicaPhase.UP, now)
     if not observed.present:
-        # Refused by the state service, or all members lost at once.
+        # The state service refused the placement, or all members were lost at once.
         return _enter(intent, ReplicaPhase.WAITING, now)
     deadline = situation.deadline(intent, timeouts.form_s)
     if now >= deadline or observed.all_stopping:
@@ -242,14 +245,14 @@
     deadline = situation.deadline(intent, timeouts.degraded_s)
     if observed.all_stopping:
         return _enter(intent, ReplicaPhase.STOPPING, now)
-    # Nothing is certain of an unresponsive member: it must not be started elsewhere, so that
-    # stopping the others would gain nothing.
+    # The state of an unresponsive member is unknown, so it must not be started elsewhere; stopping
+    # the others would therefore gain nothing.
     if now >= deadline and (observed.absent or observed.placed - observed.unresponsive):
         return _enter(intent, ReplicaPhase.STOPPING, now)
     missing = observed.absent | observed.stopping | observed.unresponsive
     if missing and missing != intent.members:
         intent = replace(intent, members=missing)
-    # Wait for members that are still stopping: one plan then places all that are missing.
+    # Wait for members that are still stopping, so that one plan places all missing members.
     to_place = observed.absent if not observed.stopping else NO_MEMBERS
     return Decision(
         intent, to_place=to_place, launch=True, due=deadline if now < deadline else None
@@ -274,20 +277,20 @@
     stopped = observed.absent & moved
     others_absent = observed.absent - moved
     if observed.planned:
-        return _moved(intent, moved, situation)
+        return _complete_move(intent, moved, situation)
     if moved and stopped == moved and observed.reservation_usable and not others_absent:
         return Decision(intent, move_into_reservation=True)
     deadline = situation.deadline(intent, timeouts.form_s)
     if not observed.reservation_usable or others_absent or now >= deadline or not moved:
         return _abandon_move(intent, is_begun=bool(stopped), situation=situation)
     if not observed.durable:
-        # A new owner would find members stopped and know of no reservation for them.
+        # Otherwise a new owner would find stopped members and no reservation for them.
         return Decision(intent, due=deadline)
     return Decision(intent, stop=(moved - observed.absent) - observed.stopping, due=deadline)
 
 
-def _moved(intent: Intent, moved: frozenset[int], situation: _Situation) -> Decision:
-    """The moved members have just been placed on the reserved machines."""
+def _complete_move(intent: Intent, moved: frozenset[int], situation: _Situation) -> Decision:
+    """Returns the transition after the moved members were placed on the reserved machines."""
     intent = replace(intent, members=NO_MEMBERS, targets=())
     if moved == situation.observed.all_members:
         return _start_anew(intent, situation.now)
@@ -295,11 +298,14 @@
 
 
 def _abandon_move(intent: Intent, is_begun: bool, situation: _Situation) -> Decision:
-    """The move cannot be completed; `is_begun`: a member has left its machine for it."""
+    """Returns the transition when a move cannot be completed.
+
+    `is_begun`: whether a member has already left its machine for the move.
+    """
     observed = situation.observed
     intent = replace(intent, members=NO_MEMBERS, targets=())
     if not is_begun and not observed.stopping:
-        # Nothing was stopped yet: the whole replica stays where it is.
+        # No member was stopped yet: the whole replica stays on its machines.
         return Decision(replace(intent, phase=ReplicaPhase.UP, began_at=situation.now))
     missing = observed.absent | observed.stopping
     return Decision(replace(intent, phase=ReplicaPhase.DEGRADED, members=missing))
--- a/badgerseam/replicas/reconciler.py
+++ b/badgerseam/replicas/reconciler.py
@@ -1,8 +1,7 @@
-"""Reconciles the replicas that span machines with their intents, for the shards that are owned.
+"""Reconciles the replicas that span machines with their intents, in the shards that are owned.
 
-A replica is reviewed (`reviewer.py`) when something about it has changed or its next review is due.
-Placements of a plan become durable with the replica's note in one transaction
-(`store/task_log.py`).
+A replica is reviewed (`reviewer.py`) when its state has changed or its next review is due. The
+placements of a plan and the replica's note become durable in one transaction (`store/task_log.py`).
 """
 
 from __future__ import annotations
@@ -26,15 +25,16 @@
 from badgerseam.sched.snapshot import Plan, Request
 
 MAX_REVIEWS = 200
-"""Due replicas that are reviewed at once; the others are reviewed next time."""
+"""The maximum number of due replicas reviewed in one reconciliation; the others follow in the next
+one."""
 ALL_REPLICAS = -1
-"""In place of a replica's number: all of a job."""
+"""Stands for all replicas of a job, in place of a replica's number."""
 NOT_OWNED = -1
-"""In place of a shard's term."""
+"""Stands for the term of a shard that is not owned."""
 
 
 class ReplicaReconciler:
-    """Reconciles replicas, and answers the planner on them (`sched.planner.ReplicaPolicy`).
+    """Reconciles replicas; the planner's replica policy (`sched.planner.ReplicaPolicy`).
 
     Callers hold the model's lock.
     """
@@ -53,16 +53,16 @@
         )
         self._drain_delay = DrainDelay(model)
         self._entries: dict[int, ReplicatedJob] = {}
-        """By job index."""
+        """The jobs that this controller manages, by job index."""
         self._terms: dict[int, int] = {}
-        """The term of each shard at the last reconciliation."""
+        """The term of each shard at the last reconciliation, by shard index."""
         model.spanning_classes = frozenset(options.classes)
         planner.replicas = self
 
     # ---- reconciliation ----
 
     def reconcile(self) -> None:
-        """Review the replicas that have changed or are due; called many times a second."""
+        """Reviews the replicas that have changed or are due; called many times a second."""
         self._reload_shards_with_new_term()
         now = self._clock.now()
         self._review_changed()
@@ -77,7 +77,8 @@
                 self._reload_shard(shard)
 
     def _reload_shard(self, shard: Shard) -> None:
-        """The shard's owner or term has changed: read its replicas anew from rows and notes."""
+        """Reads the replicas of a shard again from rows and notes, after its owner or term
+        changed."""
         for index, entry in list(self._entries.items()):
             if entry.job.shard == shard.index:
                 self._drop(index)
@@ -98,7 +99,8 @@
                     self._reviewer.review(entry, entry.replicas[number])
 
     def _take_changed_replicas(self) -> list[tuple[int, int]]:
-        """Jobs and replicas of which something has changed since the last reconciliation."""
+        """Returns the job and number of each replica that has changed since the last
+        reconciliation, and clears the changes."""
         model = self._model
         changed: set[tuple[int, int]] = set()
         for job_index, task in model.changed_tasks:
@@ -127,10 +129,11 @@
                 replica.review_at = None
                 self._reviewer.review(entry, replica)
 
-    # ---- the jobs that this controller acts for ----
+    # ---- the jobs that this controller manages ----
 
     def _entry(self, job: Job) -> ReplicatedJob | None:
-        """A job of an owned shard; None if it has ended, or its shard is not owned."""
+        """Returns the entry of a job, which is loaded if necessary; None if the job has ended, its
+        shard is not owned, or its replicas do not span machines."""
         shard = self._model.shards[job.shard]
         entry = self._entries.get(job.index)
         if entry is not None and (
@@ -147,7 +150,7 @@
         return entry
 
     def _load(self, job: Job, term: int) -> ReplicatedJob | None:
-        """Read a job's replicas from its notes, and review them."""
+        """Reads a job's replicas from its notes, and reviews them."""
         shape = shape_of(self._options, job.spec)
         if shape is None:
             return None
@@ -162,7 +165,7 @@
         return entry
 
     def _drop(self, index: int) -> None:
-        """Forget a job that this controller no longer acts for."""
+        """Drops a job that this controller no longer manages."""
         entry = self._entries.pop(index)
         for number in entry.replicas:
             self._reservations.release(ReplicaKey(index, number))
@@ -178,18 +181,18 @@
     # ---- for the planner ----
 
     def reserved_on(self, machine: AttemptHost) -> Resources:
-        """Capacity that is reserved on a machine for members still to be placed."""
+        """Returns the capacity reserved on a machine for members that are still to be placed."""
         return self._reservations.reserved_on(machine)
 
     def group(self, attempt: Attempt) -> ReplicaKey:
-        """The replica of an attempt."""
+        """Returns the replica of an attempt."""
         shape = self._shape(attempt.job)
         number = 0 if shape is None else shape.number(attempt.task)
         return ReplicaKey(attempt.job.index, number)
 
     def is_protected_from_claims(self, attempt: Attempt) -> bool:
-        """Whether an attempt is no victim of a claim to a guarantee: its replica is not up, and
-        would be down for longer."""
+        """Whether an attempt must not be evicted for another team's guarantee: its replica is not
+        up, and the eviction would keep it down for longer."""
         return self.phase_of(attempt.job, attempt.task) not in (
             None,
             ReplicaPhase.UP,
@@ -197,14 +200,15 @@
         )
 
     def phase_of(self, job: Job, task: int) -> ReplicaPhase | None:
-        """The phase of a task's replica, if this controller acts for it."""
+        """Returns the phase of a task's replica; None if this controller does not manage the
+        job."""
         entry = self._entries.get(job.index)
         if entry is None or entry.job is not job:
             return None
         return entry.replicas[entry.shape.number(task)].intent.phase
 
     def requests(self, job: Job, now: float) -> list[Request]:
-        """The requests of the job's replicas for machines."""
+        """Returns the requests of the job's replicas for machines."""
         shape = self._shape(job)
         if job.phase != Phase.OPEN or shape is None:
             return []
@@ -240,8 +244,9 @@
         return requests
 
     def carry_out(self, shard: Shard, plan: Plan) -> None:
-        """Evict whole replicas, and place the members that the plan places together."""
-        del shard  # In the planner's protocol; the plan names the jobs.
+        """Stops all members of the replicas that the plan evicts, and places the members that it
+        places together."""
+        del shard  # Required by the planner's protocol; the plan names the jobs.
         model = self._model
         evicted: set[ReplicaKey] = set()
         for stop in plan.stops:
@@ -252,7 +257,7 @@
             job = model.jobs[key.job_index]
             entry = None if job is None else self._entry(job)
             if entry is not None:
-                # Members on machines that take no tasks are in no plan.
+                # The plan does not include members on machines that accept no tasks.
                 self._reviewer.stop_members(entry, key.number)
                 self._reviewer.review(entry, entry.replicas[key.number])
         for start in plan.gang_starts:
@@ -266,8 +271,8 @@
     # ---- for draining machines ----
 
     def may_stay_while_draining(self, attempt: Attempt) -> bool:
-        """Whether a member stays on its draining machine for now, since its replica is to move
-        whole."""
+        """Whether a member may stay on its draining machine for now, since its whole replica is to
+        be moved."""
         job, machine = attempt.job, attempt.machine
         if job.changed_tasks is None or machine.given_up or machine.evacuate_to is not None:
             return False
--- a/badgerseam/replicas/records.py
+++ b/badgerseam/replicas/records.py
@@ -1,4 +1,5 @@
-"""The state of replicas: in memory on the owner, and in the notes on the pages of the task log."""
+"""The state of replicas: the owner's in-memory state, and the notes on the pages of the task
+log."""
 
 from __future__ import annotations
 
@@ -12,9 +13,10 @@
 from badgerseam.wire.state import StoredReplica
 
 MAX_MEMBERS_LISTED = 64
-"""Members that a note lists; one with more is about all of them."""
+"""The maximum number of members that a note lists. If more members are concerned, the note lists
+none; in a move it then applies to all members."""
 NOTE_TICKS_PER_S = 10
-"""Notes count time in tenths of a second."""
+"""The resolution of times in notes: tenths of a second."""
 
 
 @dataclass(slots=True)
@@ -24,13 +26,13 @@
     number: int
     intent: Intent = field(default_factory=Intent)
     note_step: int = 0
-    """The step of the latest note."""
+    """The step number of the latest note."""
     to_place: frozenset[int] = NO_MEMBERS
-    """Members that need machines."""
+    """Members to be placed on machines."""
     to_reserve: frozenset[int] = NO_MEMBERS
     """Running members for which capacity is to be reserved."""
     review_at: float | None = None
-    """When the replica is reviewed even if nothing changes."""
+    """When the replica is reviewed next even if nothing changes; None: only after a change."""
 
 
 @dataclass(slots=True)
@@ -40,20 +42,20 @@
     job: Job
     shape: ReplicaShape
     term: int
-    """The term of the shard: under another one everything is read again."""
+    """The shard's term when the notes were read; they are read again under another term."""
     replicas: dict[int, ReplicaState]
     requesting: set[int] = field(default_factory=set)
-    """Replicas with members to place or to reserve capacity for."""
+    """Numbers of the replicas that have members to place or to reserve capacity for."""
     moving: set[int] = field(default_factory=set)
-    """Replicas that are down, or soon will be, for a move."""
+    """Numbers of the replicas that are, or soon will be, down for a move."""
 
     def key(self, number: int) -> ReplicaKey:
-        """The key of one of the job's replicas."""
+        """Returns the key of one of the job's replicas."""
         return ReplicaKey(self.job.index, number)
 
 
 def to_note(clock: Clock, job: Job, replica: ReplicaState) -> StoredReplica:
-    """The note that makes a replica's intent durable, with the next step."""
+    """Returns a note that records a replica's intent, with the next step number."""
     intent = replica.intent
     replica.note_step += 1
     began_s = clock.wall() - (clock.now() - intent.began_at) - job.submitted
@@ -70,14 +72,16 @@
 
 
 def from_note(clock: Clock, job: Job, shape: ReplicaShape, number: int) -> ReplicaState:
-    """A replica as its note says; one without a note is taken to be waiting."""
+    """Returns the state of a replica according to its note; without a note the replica is
+    WAITING."""
     note = job.notes.get((StoredReplica, number))
     if not isinstance(note, StoredReplica):
         return ReplicaState(number)
     try:
         phase = ReplicaPhase(note.phase)
     except ValueError:
-        # Written by a newer version: what is observed of the members decides the rest.
+        # Written by a newer version of the program: the further phase follows from the observed
+        # members.
         phase = ReplicaPhase.DEGRADED
     began_at = 0.0
     if note.at:
--- a/badgerseam/replicas/requests.py
+++ b/badgerseam/replicas/requests.py
@@ -1,4 +1,4 @@
-"""The requests that replicas make of a plan: for all members of a replica that need machines."""
+"""The planning requests of replicas: each is for all members of a replica that need machines."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from badgerseam.sched.planner import MAX_STARTS, SAVE_SLACK_S, Planner
 from badgerseam.sched.snapshot import GangRules, Request, StayingMember
 
-ZONE_TURN_S = 20.0
-"""How long machines are rented in one zone, for a replica that could be in several, before the
-next one is tried."""
+RENTAL_ZONE_INTERVAL_S = 20.0
+"""How long machines are rented in one zone, for a replica that could be in several zones, before
+the next zone is tried."""
 REPAIR_ORDER = -1e12
-"""Order, within its rank, of what completes a replica: until then the capacity that its other
-members use is wasted."""
+"""The order, within the rank, of requests that complete a replica. They go first, since the
+capacity of the replica's other members is wasted until it is complete."""
 
 
 class ReplicaRequests:
@@ -30,7 +30,8 @@
         self._reservations = reservations
 
     def from_records(self, job: Job, shape: ReplicaShape) -> list[Request]:
-        """For a leader that rents machines for a shard of another owner: from the records alone."""
+        """Returns the requests of a job in another owner's shard, from the records alone; the
+        leader uses them to rent machines."""
         found: list[Request] = []
         task = job.status.find(IDLE)
         tasks = 0
@@ -52,10 +53,11 @@
         reserve_only: bool = False,
         may_move_whole: bool = False,
     ) -> Request:
-        """For the members of a replica that need machines, beside those that stay.
+        """Returns the request for the members of a replica that need machines; the others stay.
 
-        `reserve_only`: they run, and new capacity is only to be reserved. `may_move_whole`: where
-        there is no capacity beside the members that stay, the whole replica may be moved.
+        `reserve_only`: the members run, and capacity is only to be reserved for them.
+        `may_move_whole`: the whole replica may be moved if there is no suitable capacity together
+        with the members that stay.
         """
         rules = shape.rules
         staying = _machines_of_staying_members(job, shape.tasks(number), needed)
@@ -82,10 +84,10 @@
         return replace(base, count=len(needed), gang=True, order=order, gang_rules=gang_rules)
 
     def _rental_zone(self, job: Job, shape: ReplicaShape) -> str | None:
-        """The zone to rent machines in, for a replica in one zone of a job that is spread over
-        zones; None if the job's rules do not decide it.
+        """Returns the zone to rent machines in, for a job that is spread over zones but whose
+        replicas are each in one zone; None if the job's rules do not determine it.
 
-        The zones take turns, as the cloud may have no machines in one of them.
+        The zones are tried in rotation, as the cloud may have no machines in one of them.
         """
         if not shape.rules.same_zone or not job.spec.spread:
             return None
@@ -99,7 +101,7 @@
             return None
         zones.sort(key=lambda zone: job.zones.get(zone, 0))
         waited_s = self._model.clock.now() - job.last_seen_at
-        return zones[int(waited_s / ZONE_TURN_S) % len(zones)]
+        return zones[int(waited_s / RENTAL_ZONE_INTERVAL_S) % len(zones)]
 
 
 def _machines_of_staying_members(
--- a/badgerseam/replicas/reservations.py
+++ b/badgerseam/replicas/reservations.py
@@ -1,7 +1,7 @@
-"""Capacity of machines that is reserved for members of replicas which are still to be placed.
+"""Reservations of machine capacity for members of replicas that are still to be placed.
 
-A move reserves the machines that it moves to; a degraded replica reserves what its missing members
-used, on machines that stay.
+A move reserves capacity on its target machines. A degraded replica reserves the capacity that its
+missing members used, on machines that can be used again.
 """
 
 from __future__ import annotations
@@ -16,29 +16,30 @@
 
 
 class ReplicaKey(NamedTuple):
-    """A replica among those of all jobs."""
+    """Identifies a replica among those of all jobs."""
 
     job_index: int
     number: int
 
 
 class Reservations:
-    """The reservations of all replicas of owned shards.
+    """The reservations of all replicas in owned shards.
 
-    A plan counts reserved capacity as used (`Planner.node`), and gives it only to the replica that
-    it is reserved for (`sched/gang_placement.py`). Callers hold the model's lock.
+    A plan counts reserved capacity as used (`Planner.node`), and assigns it only to the replica for
+    which it is reserved (`sched/gang_placement.py`). Callers hold the model's lock.
     """
 
     def __init__(self, model: Model) -> None:
         self._model = model
         self._tasks_by_machine: dict[int, Counter[ReplicaKey]] = {}
-        """Tasks for which capacity is reserved, by machine and replica."""
+        """The number of tasks for which capacity is reserved, by machine and replica."""
         self._machines_by_replica: dict[ReplicaKey, list[int]] = {}
+        """The machines reserved for each replica, once for each task."""
         self._last_machines: dict[tuple[int, int], int] = {}
-        """By a job's index and a task."""
+        """The machine that each member was last on, by job index and task."""
 
     def reserved_on(self, machine: AttemptHost) -> Resources:
-        """What is reserved on a machine."""
+        """Returns the capacity reserved on a machine."""
         total = NOTHING
         for key, count in self._tasks_by_machine.get(machine.index, {}).items():
             job = self._model.jobs[key.job_index]
@@ -47,12 +48,12 @@
         return total
 
     def machines_for(self, key: ReplicaKey) -> list[int]:
-        """The machines reserved for a replica, once for each task."""
+        """Returns the machines reserved for a replica, once for each task."""
         return self._machines_by_replica.get(key, [])
 
     def reserve(self, key: ReplicaKey, machines: list[int]) -> None:
-        """Reserve capacity for one task on each of these machines, in place of what the replica
-        had reserved before."""
+        """Reserves capacity for one task on each of these machines; this replaces the replica's
+        earlier reservation."""
         before = self._machines_by_replica.pop(key, [])
         if machines:
             self._machines_by_replica[key] = machines
@@ -68,7 +69,7 @@
                 machine.sched_view = None
 
     def release(self, key: ReplicaKey) -> None:
-        """Release all that a replica has reserved."""
+        """Releases all capacity reserved for a replica."""
         self.reserve(key, [])
 
     def _remove_task(self, index: int, key: ReplicaKey) -> None:
@@ -80,15 +81,16 @@
             del self._tasks_by_machine[index]
 
     def note_member(self, job: Job, task: int, machine: AttemptHost) -> None:
-        """Record the machine that a member is on."""
+        """Records the machine that a member is on."""
         self._last_machines[job.index, task] = machine.index
 
     def last_machine(self, job: Job, task: int) -> Machine | None:
-        """The machine that a member was last on, if it still exists."""
+        """Returns the machine that a member was last on; None if it no longer exists or is
+        unknown."""
         return self._model.machines.get(self._last_machines.get((job.index, task), -1))
 
     def drop_job(self, index: int, tasks: int) -> None:
-        """Forget the members of a job that this controller no longer acts for; `tasks`: how many
-        it has."""
+        """Drops the members of a job that this controller no longer manages; `tasks`: the number of
+        the job's tasks."""
         for task in range(tasks):
             self._last_machines.pop((index, task), None)
--- a/badgerseam/replicas/review_schedule.py
+++ b/badgerseam/replicas/review_schedule.py
@@ -1,4 +1,4 @@
-"""When replicas are reviewed even if nothing changes."""
+"""Schedules reviews of replicas for times at which a review is needed even if nothing changes."""
 
 from __future__ import annotations
 
@@ -11,26 +11,29 @@
 from badgerseam.replicas.reservations import ReplicaKey
 
 UNRESPONSIVE_REVIEW_INTERVAL_S = 1.0
-"""Between reviews of a replica with an unresponsive machine."""
+"""Seconds between reviews of a replica with an unresponsive machine."""
 MOVE_REVIEW_INTERVAL_S = 0.1
-"""Between reviews of a replica that moves; also the shortest time between two reviews."""
+"""Seconds between reviews of a replica that is being moved; also the shortest delay of any
+review."""
 
 
 class ReviewSchedule:
-    """A heap of times and replicas; an entry whose time is no longer its replica's is stale."""
+    """A heap of review times and replicas. An entry is stale if its time is no longer the replica's
+    `review_at`."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, ReplicaKey]] = []
 
     def schedule(self, entry: ReplicatedJob, replica: ReplicaState, review_at: float) -> None:
-        """Review a replica at a time, unless it is reviewed sooner."""
-        # What is in the heap and comes sooner reviews it, and schedules the next review.
+        """Schedules a review of a replica, unless an earlier one is scheduled."""
+        # An earlier review schedules the next one itself.
         if replica.review_at is None or review_at < replica.review_at:
             replica.review_at = review_at
             heapq.heappush(self._heap, (review_at, entry.key(replica.number)))
 
     def pop_due(self, now: float) -> tuple[float, ReplicaKey] | None:
-        """The earliest entry whose time has come, with that time."""
+        """Removes and returns the earliest entry that is due, with its time; None if none is
+        due."""
         if not self._heap or self._heap[0][0] > now:
             return None
         return heapq.heappop(self._heap)
@@ -39,7 +42,8 @@
 def next_review_at(
     job: Job, decision: Decision, observed: ObservedMembers, observer: MemberObserver, now: float
 ) -> float | None:
-    """When to review a replica after a decision, if nothing changes; None: only after a change."""
+    """Returns when to review a replica again after a decision if nothing changes; None: only after
+    a change."""
     times = [] if decision.due is None else [decision.due]
     if observed.unresponsive:
         times.append(now + UNRESPONSIVE_REVIEW_INTERVAL_S)
--- a/badgerseam/replicas/reviewer.py
+++ b/badgerseam/replicas/reviewer.py
@@ -1,6 +1,6 @@
-"""Reviews one replica: observes its members, decides, and does what follows.
+"""Reviews single replicas: observes the members, decides, and carries out the decision.
 
-Also begins what a plan has found for a replica: the placement of its members, or a move.
+It also carries out what a plan has decided for a replica: the placement of its members, or a move.
 """
 
 from __future__ import annotations
@@ -31,16 +31,17 @@
 log = logging.getLogger("badgerseam.replicas")
 
 MAX_DECISIONS_PER_REVIEW = 3
-"""A decision that places members changes what is observed, and is followed by another."""
+"""The maximum number of decisions in one review. A decision that places members changes the
+observed state, so that another decision follows."""
 MAX_MEMBERS_LOGGED = 16
 URGENT_PHASES = frozenset({ReplicaPhase.MOVING, ReplicaPhase.STOPPING})
-"""They have to be durable at once for a new owner to finish them."""
+"""Phases whose note is written at once, so that a new owner can complete them."""
 PHASES_AFTER_MOVE = frozenset({ReplicaPhase.FORMING, ReplicaPhase.REPAIRING})
-"""A replica that has moved is still down in these."""
+"""Phases after a move in which the replica is still down."""
 
 
 class ReplicaReviewer:
-    """Brings replicas in line with their intents, one at a time.
+    """Reconciles replicas with their intents, one at a time.
 
     Callers hold the model's lock.
     """
@@ -63,11 +64,12 @@
         self.moves = ReplicaMoves(model, planner, reservations, self._observer)
 
     def review(self, entry: ReplicatedJob, replica: ReplicaState) -> None:
-        """Bring a replica's intent in line with what is observed, and do what follows."""
+        """Updates a replica's intent from the observed members, and carries out the decision."""
         now = self._clock.now()
         job, rules = entry.job, entry.shape.rules
         if self._observer.is_evacuated(job, entry.shape.tasks(replica.number)):
-            # Its capacity is taken for other work, as by an eviction: all members stop, or none.
+            # An evacuation takes the capacity for other work, as an eviction does: all members of
+            # the replica are stopped, not only those on the machine.
             self.stop_members(entry, replica.number, 0.0)
         timeouts = PhaseTimeouts(rules.form_s, rules.degraded_s)
         for _ in range(MAX_DECISIONS_PER_REVIEW):
@@ -86,7 +88,8 @@
             self._schedule.schedule(entry, replica, review_at)
 
     def place_members(self, entry: ReplicatedJob, start: GangStart) -> None:
-        """Place the members that a plan places together, unless they have changed since."""
+        """Places the members that a plan places together, unless they have changed since the
+        plan."""
         replica = entry.replicas[start.number]
         tasks = [task for task in replica.to_place if entry.job.status[task] == IDLE]
         if len(tasks) == len(start.nodes):
@@ -94,13 +97,13 @@
             self.review(entry, replica)
 
     def begin_move(self, entry: ReplicatedJob, start: GangStart) -> None:
-        """Reserve the machines that the plan has found for a move."""
+        """Begins a move, and reserves the machines that the plan has chosen for it."""
         replica = entry.replicas[start.number]
         members = replica.to_place or replica.to_reserve
         if start.moves_whole:
             tasks = entry.shape.tasks(start.number)
             members = frozenset(task for task in tasks if entry.job.status[task] != FINISHED)
-        # Another replica of the job may have begun its move by the same plan.
+        # The same plan may have begun a move of another replica of the job.
         if len(members) != len(start.nodes) or not self.moves.may_move(entry, replica):
             return
         before = replica.intent
@@ -134,7 +137,7 @@
                 self._model.machines_to_push.add(attempt.machine.index)
 
     def stop_members(self, entry: ReplicatedJob, number: int, grace_s: float | None = None) -> None:
-        """Stop all members of a replica; `grace_s` as in `Planner.stop`."""
+        """Stops all members of a replica; `grace_s` as in `Planner.stop`."""
         for task in entry.shape.tasks(number):
             attempt = entry.job.attempts.get(task)
             if attempt is not None and not attempt.stopping and not attempt.finishing:
@@ -147,7 +150,7 @@
         decision: Decision,
         observed: ObservedMembers,
     ) -> None:
-        """Make a decision's intent the replica's, with its note and its reservations."""
+        """Applies a decision: updates the replica's intent, its note and its reservations."""
         before, intent, number = replica.intent, decision.intent, replica.number
         replica.to_place, replica.to_reserve = decision.to_place, decision.to_reserve
         if decision.to_place or decision.to_reserve:
@@ -161,7 +164,7 @@
         if intent.phase != before.phase:
             self._log_phase_change(entry, replica, before)
             for task in observed.present:
-                # Which of the members may be victims depends on the phase.
+                # Whether members may be evicted depends on the phase, so the cached view is stale.
                 entry.job.attempts[task].machine.sched_view = None
             if intent.phase not in PHASES_AFTER_MOVE and intent.phase != ReplicaPhase.MOVING:
                 entry.moving.discard(number)
@@ -192,8 +195,8 @@
     def _machines_of_missing_members(
         self, entry: ReplicatedJob, observed: ObservedMembers
     ) -> list[int]:
-        """The machines that absent members were on, as far as they can be used again: nobody else
-        is to use that capacity meanwhile."""
+        """Returns the machines that absent members were on and that can be used again. Their
+        capacity is reserved, so that no other job uses it meanwhile."""
         now, job = self._clock.now(), entry.job
         machines = []
         for task in sorted(observed.absent):
@@ -216,7 +219,7 @@
             self._notes.defer(job)
 
     def _move_into_reservation(self, entry: ReplicatedJob, replica: ReplicaState) -> None:
-        """Place all moved members on the machines that are reserved for them."""
+        """Places all moved members on the machines that are reserved for them."""
         job, key = entry.job, entry.key(replica.number)
         machines = list(self._reservations.machines_for(key))
         self._reservations.release(key)
--- a/badgerseam/replicas/shapes.py
+++ b/badgerseam/replicas/shapes.py
@@ -1,4 +1,4 @@
-"""Which tasks of a job form a replica, and whether any set of machines can hold one."""
+"""Determines which tasks of a job form a replica, and whether any set of machines can hold one."""
 
 from __future__ import annotations
 
@@ -17,31 +17,33 @@
     """The replicas of a job: numbers, sizes and rules."""
 
     size: int
-    """Tasks of a replica."""
+    """The number of tasks in a replica; the last replica may have more."""
     count: int
-    """Replicas of the job."""
+    """The number of replicas of the job."""
     total: int
-    """Tasks of the job."""
+    """The number of tasks of the job."""
     rules: ReplicaClass
 
     def number(self, task: int) -> int:
-        """The replica of a task."""
+        """Returns the number of the replica that a task belongs to."""
         return min(task // self.size, self.count - 1)
 
     def tasks(self, number: int) -> range:
-        """The tasks of a replica."""
+        """Returns the tasks of a replica."""
         last = number == self.count - 1
         return range(number * self.size, self.total if last else (number + 1) * self.size)
 
 
 def shape_of(options: ReplicasOptions, spec: Submission) -> ReplicaShape | None:
-    """A job's replicas; None if its tasks are independent of one another, as those of an array."""
+    """Returns the shape of a job's replicas; None if its tasks are independent of one another, as
+    in an array."""
     rules = options.classes.get(spec.job_class)
     if rules is None or spec.kind == "sweep":
         return None
     if rules.tasks is None or spec.kind == "group":
         return ReplicaShape(spec.tasks, 1, spec.tasks, rules)
-    # Accepted before the options defined this size: the last replica has the remaining tasks.
+    # A job accepted before the options defined this size may have a remainder, which belongs to the
+    # last replica.
     size = min(rules.tasks, spec.tasks)
     return ReplicaShape(size, max(1, spec.tasks // size), spec.tasks, rules)
 
@@ -49,8 +51,8 @@
 def infeasible_reason(
     options: ReplicasOptions, types: Mapping[str, MachineType], spec: Submission
 ) -> str | None:
-    """Why no set of machines can ever hold the job's replicas, with field and remedy; None if one
-    can."""
+    """Returns why no set of machines can ever hold the job's replicas, with the field and a remedy;
+    None if one can."""
     shape = shape_of(options, spec)
     if shape is None:
         return None
@@ -86,7 +88,7 @@
 
 
 def _max_tasks_per_machine(types: Mapping[str, MachineType], spec: Submission) -> int:
-    """How many of a job's tasks an empty machine of a permitted type can hold."""
+    """Returns how many of a job's tasks an empty machine of a permitted type can hold."""
     demand = Resources(spec.cpus, spec.gpus, spec.memory_gb)
     return max(
         (
