--- a/badgerseam/batch/terms.py
+++ b/badgerseam/batch/terms.py
@@ -15,7 +15,7 @@
 """The maximum number of jobs visited in the search for a cycle."""
 
 WasAccepted = Callable[[str], Awaitable[bool]]
-"""Returns whether a job was ever accepted, according to the state service."""
+"""A function that returns whether a job was ever accepted, according to the state service."""
 
 
 class TermsError(BadgerseamError):
--- a/badgerseam/replicas/deferred_notes.py
+++ b/badgerseam/replicas/deferred_notes.py
@@ -33,7 +33,7 @@
         self._write(job.index, job)
 
     def write_due(self, now: float) -> None:
-        """Writes the notes whose time to wait is over."""
+        """Writes the notes whose delay has expired."""
         for index, (job, until) in list(self._deferred.items()):
             if until <= now:
                 self._write(index, job)
--- a/tests/accounting/test_attempt_log.py
+++ b/tests/accounting/test_attempt_log.py
@@ -214,7 +214,7 @@
         elif step == "deliver":
             rig.state.deliver()
         elif step == "cancel":
-            # Few of them, or nothing else would be seen.
+            # A single cancel step is ignored, as frequent cancellations would hide other outcomes.
             if steps.count("cancel") > 1:
                 with contextlib.suppress(StateUnavailableError):
                     await rig.ledger.cancel("job-000001")
--- a/tests/runs/test_runs.py
+++ b/tests/runs/test_runs.py
@@ -225,7 +225,7 @@
         seen.append(round((slot.opens - noon) / 3600))
         last = slot
     assert seen == [-38, -14]
-    # The opening time is moved back by an hour in a night that already had its run.
+    # The opening time is postponed by an hour in a night that already had its run.
     later = plan(quiet_s=None, windows=[{"opens": "23:00", "closes": "05:00"}])
     assert due_window(later, noon - 12 * 3600, last) is None
 
