--- a/tests/support/lossy_workers.py
+++ b/tests/support/lossy_workers.py
@@ -35,8 +35,11 @@
         self.heartbeats_arrive = True
         """Whether the worker's heartbeats reach the controller."""
         self.retry_interval_s = NO_RESPONSE_RETRY_S
+        """Seconds from a heartbeat without a response to the next one."""
         self.due_at = rig.clock.now()
+        """When the next heartbeat is due, in seconds of the clock."""
         self.statuses: list[int] = []
+        """The statuses of the responses, also of those that did not reach the worker."""
 
     def step(self, rig: ControllerFixture) -> None:
         """Sends a heartbeat if one is due."""
--- a/tests/support/scripted_peers.py
+++ b/tests/support/scripted_peers.py
@@ -125,6 +125,7 @@
         self.request_budget = RateBudget(clock, params.rps)
         self.confirmed_at = clock.now()
         self.late: list[tuple[list[wire.Condition], list[wire.Write]]] = []
+        """Delayed transactions, which `deliver` executes."""
         self.script: list[str] = []
         """Outcomes of the next transactions, in order: "lost" (not executed, no response),
         "silent" (executed, no response), "late" (no response; executed by `deliver`), "503" (not
