--- a/badgerseam/lab/history.py
+++ b/badgerseam/lab/history.py
@@ -32,7 +32,7 @@
 
 END_PHASES = ("done", "withdrawn")
 """A job is never called anything else once a user was told one of them."""
-PLACES = 6
+TIME_DECIMAL_PLACES = 6
 """Decimal places of times: whether a question was sent before or after an answer came is told to
 the microsecond."""
 WAITS_S = {"poll": 2.0, "submit": 5.0, "abort": 5.0}
@@ -93,7 +93,9 @@
 
     def add(self, kind: Kind, **fields: object) -> None:
         """Note an event that happens now."""
-        event = msgspec.convert({"t": round(self.now(), PLACES), "kind": kind, **fields}, Event)
+        event = msgspec.convert(
+            {"t": round(self.now(), TIME_DECIMAL_PLACES), "kind": kind, **fields}, Event
+        )
         self.events.append(event)
         if self._file is not None:
             self._file.write(msgspec.json.encode(event) + b"\n")
--- a/badgerseam/lab/load_balancer.py
+++ b/badgerseam/lab/load_balancer.py
@@ -15,7 +15,7 @@
 from badgerseam.http.client import NoResponseError, NotSentError
 from badgerseam.http.network import SOCKETS, Network
 from badgerseam.http.server import HttpServer, Reply, error_reply
-from badgerseam.lab.history import PLACES, WAITS_S, History
+from badgerseam.lab.history import TIME_DECIMAL_PLACES, WAITS_S, History
 from badgerseam.lab.worker import Description
 from badgerseam.model.resources import Resources
 from badgerseam.wire import users as wire
@@ -145,7 +145,7 @@
                 about=about,
                 status=reply.status,
                 phase=phase,
-                asked=round(asked, PLACES),
+                asked=round(asked, TIME_DECIMAL_PLACES),
             )
             if self.on_answer is not None:
                 self.on_answer(job, reply.status, phase)
