--- a/badgerseam/lab/history.py
+++ b/badgerseam/lab/history.py
@@ -35,7 +35,7 @@
 TIME_DECIMAL_PLACES = 6
 """Decimal places of times: whether a question was sent before or after an answer came is told to
 the microsecond."""
-WAITS_S = {"poll": 2.0, "submit": 5.0, "abort": 5.0}
+CLIENT_TIMEOUTS_S = {"poll": 2.0, "submit": 5.0, "abort": 5.0}
 """How long a user waits for an answer, by what it is about."""
 
 
@@ -72,7 +72,7 @@
         The load balancer notes answers that come after that as well; counted as answers, they
         would hide a service that is always too slow.
         """
-        waits_s = WAITS_S.get(self.about, float("inf"))
+        waits_s = CLIENT_TIMEOUTS_S.get(self.about, float("inf"))
         return self.status != 0 and (not self.asked or self.t - self.asked <= waits_s)
 
 
