--- a/badgerseam/lab/history.py
+++ b/badgerseam/lab/history.py
@@ -81,7 +81,7 @@
 
     def __init__(self, now: Callable[[], float], path: Path | None = None) -> None:
         self._begun = now()
-        self.wall = time.time()
+        self.start_wall_time = time.time()
         """Time of day when the lab began."""
         self._now = now
         self._file: IO[bytes] | None = None if path is None else path.open("ab")
--- a/badgerseam/lab/lab.py
+++ b/badgerseam/lab/lab.py
@@ -393,7 +393,7 @@
         context = RuleContext(
             self.site.teams,
             self.site.workers.cancel_s,
-            self.history.wall,
+            self.history.start_wall_time,
             {job for job, behaviour in behaviours.items() if behaviour.broken},
             self.site.types,
             {job_class.name for job_class in self.site.classes if job_class.replica > 1},
