--- a/badgerseam/lab/client_faults.py
+++ b/badgerseam/lab/client_faults.py
@@ -92,7 +92,7 @@
         """Many members of one class are submitted at once; no failure, and nothing to revert."""
         load = self._running_load(fault)
         try:
-            arrays = load.night(fault.target, fault.count)
+            arrays = load.submit_arrays(fault.target, fault.count)
         except KeyError:
             names = ", ".join(entry.name for entry in self._lab.site.classes)
             raise LabError(f"target: {fault.target!r}: one of {names}") from None
--- a/badgerseam/lab/load.py
+++ b/badgerseam/lab/load.py
@@ -118,7 +118,7 @@
         """Users whose job has not ended."""
         return len(self._users)
 
-    def night(self, name: str, members: int) -> int:
+    def submit_arrays(self, name: str, members: int) -> int:
         """So many members of a class at once, in arrays of its largest size; how many arrays.
 
         KeyError if there is no such class.
