--- a/badgerseam/cli/lab_experiment.py
+++ b/badgerseam/cli/lab_experiment.py
@@ -14,7 +14,7 @@
 from badgerseam.cli.lab_report import print_report
 from badgerseam.cli.lab_site import write_options_file
 from badgerseam.clock import Clock
-from badgerseam.lab.experiment import Experiment, load_experiment, play
+from badgerseam.lab.experiment import Experiment, load_experiment, run_on_lab
 from badgerseam.lab.lab import Lab
 from badgerseam.lab.report import Report
 from badgerseam.lab.report_files import write_report
@@ -64,7 +64,7 @@
             if text:
                 progress.console.print(f"{lab.history.now():7.1f} s  {text}")
 
-        return await play(lab, experiment, show_progress)
+        return await run_on_lab(lab, experiment, show_progress)
 
 
 def _has_failed(report: Report) -> bool:
--- a/badgerseam/lab/experiment.py
+++ b/badgerseam/lab/experiment.py
@@ -84,7 +84,9 @@
     return experiment
 
 
-async def play(lab: Lab, experiment: Experiment, told: Callable[[float, str], None]) -> Report:
+async def run_on_lab(
+    lab: Lab, experiment: Experiment, told: Callable[[float, str], None]
+) -> Report:
     """Play an experiment on a lab that has been started; `told` hears of the progress (0 to 1)."""
     await lab.wait_until_ready()
     breaker = FaultInjector(lab)
