--- a/badgerseam/lab/checker.py
+++ b/badgerseam/lab/checker.py
@@ -106,7 +106,7 @@
         self._history.no_failure_since = event.t
 
 
-def judge(events: Iterable[Event], context: RuleContext) -> Verdict:
+def check_history(events: Iterable[Event], context: RuleContext) -> Verdict:
     """Check a whole history."""
     checker = RuleChecker(context)
     t = 0.0
--- a/badgerseam/lab/lab.py
+++ b/badgerseam/lab/lab.py
@@ -14,7 +14,7 @@
 from badgerseam.http.network import SOCKETS, Network
 from badgerseam.http.server import Handler, HttpServer
 from badgerseam.lab.adversarial_clients import AdversarialClients
-from badgerseam.lab.checker import Verdict, judge
+from badgerseam.lab.checker import Verdict, check_history
 from badgerseam.lab.checkouts import (
     OWN_SOURCES,
     Checkout,
@@ -398,4 +398,4 @@
             self.site.types,
             {job_class.name for job_class in self.site.classes if job_class.replica > 1},
         )
-        return judge(self.history.events, context)
+        return check_history(self.history.events, context)
