--- a/badgerseam/lab/report_files.py
+++ b/badgerseam/lab/report_files.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from badgerseam.lab.report import Report
-from badgerseam.lab.served import Largest, Served
+from badgerseam.lab.served import LargestJobs, Served
 
 if TYPE_CHECKING:
     from matplotlib.axes import Axes
@@ -34,7 +34,7 @@
     return [data_path, plot_path, page_path]
 
 
-def largest_cells(largest: Largest) -> list[str]:
+def largest_cells(largest: LargestJobs) -> list[str]:
     """The table cells of a class's largest jobs."""
     seconds = ["-" if s is None else f"{s:.1f}" for s in (largest.first_s, largest.all_s)]
     served = "-" if largest.served is None else f"{largest.served:.3f}"
