--- a/badgerseam/lab/load.py
+++ b/badgerseam/lab/load.py
@@ -99,7 +99,7 @@
         """Begin to submit."""
         for job_class in self._classes:
             for _ in range(job_class.at_start):
-                self._user(job_class)
+                self._start_user(job_class)
             self._sources.append(asyncio.ensure_future(self._arrive(job_class)))
 
     def stop_arrivals(self) -> None:
@@ -127,7 +127,7 @@
         most = job_class.tasks[1]
         sizes = [most] * (members // most) + [members % most] * (members % most > 0)
         for size in sizes:
-            self._user(msgspec.structs.replace(job_class, tasks=[size, size]))
+            self._start_user(msgspec.structs.replace(job_class, tasks=[size, size]))
         return len(sizes)
 
     async def _arrive(self, job_class: JobClass) -> None:
@@ -137,9 +137,9 @@
             pause = self._random.expovariate(rate) if rate > 0 else math.inf
             await asyncio.sleep(min(pause, 1.0))
             if pause <= 1.0:
-                self._user(job_class)
+                self._start_user(job_class)
 
-    def _user(self, job_class: JobClass) -> None:
+    def _start_user(self, job_class: JobClass) -> None:
         self._users.spawn(self._live(job_class))
 
     async def _live(self, job_class: JobClass) -> None:
