--- a/badgerseam/lab/checker.py
+++ b/badgerseam/lab/checker.py
@@ -90,7 +90,7 @@
             )
         return Verdict(
             self.violations,
-            self._served.table(t),
+            self._served.result(t),
             sorted(name for name, job in jobs.items() if job.unanswered_since is not None),
             Counts(
                 self._tasks.starts_after_cancellation,
--- a/badgerseam/lab/cost_measurements.py
+++ b/badgerseam/lab/cost_measurements.py
@@ -143,10 +143,10 @@
     waiting = {job for job in jobs if job is not None}
     last_job = next(job for job in reversed(jobs) if job is not None)
 
-    async def cost(asked: set[Job]) -> float:
+    async def cost(explained_jobs: set[Job]) -> float:
         surveys._charge(-1.0)
         started_at = time.process_time()
-        await surveys.ask(shard, asked)
+        await surveys.ask(shard, explained_jobs)
         return (time.process_time() - started_at) * 1000
 
     one_answer_ms = sorted([await cost({last_job}) for _ in range(5)])[2]
--- a/badgerseam/lab/history.py
+++ b/badgerseam/lab/history.py
@@ -51,7 +51,7 @@
     session: int = 0
     """For `launch`: the number of the machine's session; each expired lease increments it."""
     token: int = 0
-    """For `launch`: the highest fencing token that the machine has seen, that of the command's
+    """For `launch`: the highest fencing token that the machine has received, that of the command's
     sender."""
     about: str = ""
     """For `answer`: submit, malformed, poll or abort. For `fault`: the name of the fault."""
