--- a/badgerseam/lab/machines.py
+++ b/badgerseam/lab/machines.py
@@ -199,7 +199,7 @@
                     error,
                 )
                 return TRY_NEXT_S
-            core.answered(sent, session, orders)
+            core.handle_heartbeat_response(sent, session, orders)
             return self._params.report_s * self._random.uniform(0.75, 1.25)
         if response.status == 421:
             try:
--- a/badgerseam/lab/worker.py
+++ b/badgerseam/lab/worker.py
@@ -138,7 +138,9 @@
             [held.wire() for held in self.tasks.values()],
         )
 
-    def answered(self, sent_at: float, session: int, orders: wire.HeartbeatResponse) -> bool:
+    def handle_heartbeat_response(
+        self, sent_at: float, session: int, orders: wire.HeartbeatResponse
+    ) -> bool:
         """A response to a report; False if it had to be dropped."""
         if session != self.session or not self._accept_token(orders.fencing_token):
             return False
