--- a/badgerseam/lab/machines.py
+++ b/badgerseam/lab/machines.py
@@ -141,7 +141,7 @@
             orders = _direct.decode(body)
         except msgspec.DecodeError:
             return error_reply(400, "warrant, tenure and orders are needed")
-        done = core.direct(orders)
+        done = core.execute_direct_commands(orders)
         return Reply(200 if done else 409, wire.encode(core.report()))
 
     # ---- reports ----
--- a/badgerseam/lab/worker.py
+++ b/badgerseam/lab/worker.py
@@ -148,7 +148,7 @@
         self._execute(orders.commands)
         return True
 
-    def direct(self, orders: wire.DirectCommands) -> bool:
+    def execute_direct_commands(self, orders: wire.DirectCommands) -> bool:
         """Commands on `/do`; they don't renew the lease. False (409) if nothing was executed."""
         if orders.incarnation != self.session or not self._accept_token(orders.fencing_token):
             return False
