--- a/badgerseam/lab/worker.py
+++ b/badgerseam/lab/worker.py
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        who: Identity,
+        identity: Identity,
         clock: Clock,
         lease_s: float,
         total: Resources,
@@ -93,7 +93,7 @@
         fetch_gb_per_s: float = 1.0,
         cache_gb: float = float("inf"),
     ) -> None:
-        self.who = who
+        self.identity = identity
         self._clock = clock
         self._lease_s = lease_s
         self._total = total
@@ -123,14 +123,14 @@
     def report(self) -> wire.Heartbeat:
         """The next report; its number is used up."""
         self.seq += 1
-        who = self.who
+        identity = self.identity
         left = None if self.notice_at is None else max(0.0, self.notice_at - self._clock.now())
         return wire.Heartbeat(
-            who.name,
-            who.addr,
-            who.type,
-            who.zone,
-            who.spot,
+            identity.name,
+            identity.addr,
+            identity.type,
+            identity.zone,
+            identity.spot,
             self.session,
             self.seq,
             self.token,
@@ -191,7 +191,7 @@
         else:
             self.tasks[new.task] = new
             self.changed = True
-            self._watch("launch", self.who.name, new.task, new.attempt)
+            self._watch("launch", self.identity.name, new.task, new.attempt)
             if job.image in self.images or job.image_gb <= 0:
                 self._start(new)
             else:
@@ -233,7 +233,7 @@
         held.phase = "running"
         held.ran_s = self._results.progress_s.get(held.task, 0.0)
         self.changed = True
-        self._watch("on", self.who.name, held.task, held.attempt)
+        self._watch("on", self.identity.name, held.task, held.attempt)
         if held.task in self._results.done:
             self._exit(held, "done")
         elif held.job.broken or self.faulty:
@@ -247,9 +247,9 @@
         if held.on:
             held.on = False
             event = "done" if cause == "done" else "off"
-            self._watch(event, self.who.name, held.task, held.attempt)
+            self._watch(event, self.identity.name, held.task, held.attempt)
         else:
-            self._watch("drop", self.who.name, held.task, held.attempt)
+            self._watch("drop", self.identity.name, held.task, held.attempt)
         image = held.job.image
         if image in self._fetched and not any(
             h.phase == "fetching" and h.job.image == image for h in self.tasks.values()
@@ -302,9 +302,9 @@
         for held in self.tasks.values():
             if held.on:
                 held.on = False
-                self._watch("off", self.who.name, held.task, held.attempt)
+                self._watch("off", self.identity.name, held.task, held.attempt)
             elif held.phase == "fetching":
-                self._watch("drop", self.who.name, held.task, held.attempt)
+                self._watch("drop", self.identity.name, held.task, held.attempt)
         self.tasks.clear()
         self._fetched.clear()
         self.session += 1
