--- a/badgerseam/lab/late_heartbeats.py
+++ b/badgerseam/lab/late_heartbeats.py
@@ -73,7 +73,7 @@
         await self._bring(node, body)
 
     async def _bring(self, node: str, body: bytes) -> None:
-        await self._links.passed("workers", node)
+        await self._links.wait_while_broken("workers", node)
         try:
             # Whatever the answer is, nobody is there to hear it.
             await self._http.request(self._nodes[node], "POST", "/checkin", body, RESPONSE_S)
--- a/badgerseam/lab/links.py
+++ b/badgerseam/lab/links.py
@@ -62,7 +62,7 @@
         """All that is broken."""
         return [(a, b, broken.trouble) for (a, b), broken in sorted(self._broken.items())]
 
-    async def passed(self, source: str, target: str, trouble: LinkFault = "cut") -> None:
+    async def wait_while_broken(self, source: str, target: str, trouble: LinkFault = "cut") -> None:
         """Return when nothing holds packets back, or when the link has not that trouble."""
         while (broken := self._broken.get((source, target))) and broken.trouble == trouble:
             await broken.healed.wait()
@@ -93,7 +93,7 @@
             await asyncio.sleep(SLOW_S * self._random.random())
             return await _done(execute())
         if broken.trouble == "cut":
-            await self.passed(source, target)
+            await self.wait_while_broken(source, target)
             return await _done(execute())
         if self._random.random() < LOSSY:
             if self._random.random() < 0.5:
@@ -145,7 +145,7 @@
             writer.transport.abort()
             return
         with contextlib.suppress(OSError, asyncio.CancelledError):
-            await self._links.passed(*self._ends)
+            await self._links.wait_while_broken(*self._ends)
             there, back = await asyncio.open_connection("127.0.0.1", self._port)
             try:
                 await asyncio.gather(
@@ -160,7 +160,7 @@
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(65536):
-                await self._links.passed(*ends)
+                await self._links.wait_while_broken(*ends)
                 if self._refused:
                     break
                 writer.write(data)
--- a/badgerseam/lab/machines.py
+++ b/badgerseam/lab/machines.py
@@ -113,8 +113,8 @@
 
     async def _heard(self) -> None:
         """Return when answers and commands reach the machine."""
-        await self._links.passed(ANSWERS, self.core.identity.name)
-        await self._links.passed(ANSWERS, zone_end(self.core.identity.zone))
+        await self._links.wait_while_broken(ANSWERS, self.core.identity.name)
+        await self._links.wait_while_broken(ANSWERS, zone_end(self.core.identity.zone))
 
     async def _handle(self, method: str, uri: str, body: bytes) -> Reply:
         late = self._late_commands
@@ -169,16 +169,16 @@
         name = core.identity.name
         try:
             async with asyncio.timeout(RESPONSE_S):
-                await self._links.passed("workers", self._at)
-                await self._links.passed(name, CONTROLLERS)
-                await self._links.passed(zone_end(core.identity.zone), CONTROLLERS)
-                await self._links.passed(self._at, zone_end(core.identity.zone))
+                await self._links.wait_while_broken("workers", self._at)
+                await self._links.wait_while_broken(name, CONTROLLERS)
+                await self._links.wait_while_broken(zone_end(core.identity.zone), CONTROLLERS)
+                await self._links.wait_while_broken(self._at, zone_end(core.identity.zone))
                 self._copied(body)
                 response = await self._http.request(
                     self._nodes[self._at], "POST", "/checkin", body, RESPONSE_S
                 )
-                await self._links.passed("workers", self._at)
-                await self._links.passed(self._at, zone_end(core.identity.zone))
+                await self._links.wait_while_broken("workers", self._at)
+                await self._links.wait_while_broken(self._at, zone_end(core.identity.zone))
                 await self._heard()
         except (NoResponseError, TimeoutError):
             self._next()
--- a/badgerseam/lab/services.py
+++ b/badgerseam/lab/services.py
@@ -202,14 +202,14 @@
 
     async def handler(method: str, uri: str, body: bytes) -> Reply:
         if uri.startswith("/follow"):
-            await links.passed(node, WATCH)
+            await links.wait_while_broken(node, WATCH)
         reply = await links.request(
             node, target, lambda: handle(method, uri, body), late=uri == "/txn"
         )
         if uri.startswith("/follow"):
             # Who is refused for a while keeps its open watches, which wait as in an outage.
-            await links.passed(node, target, "refused")
-            await links.passed(node, WATCH)
+            await links.wait_while_broken(node, target, "refused")
+            await links.wait_while_broken(node, WATCH)
         return reply
 
     server = network.server(handler)
