--- a/badgerseam/lab/control_endpoint.py
+++ b/badgerseam/lab/control_endpoint.py
@@ -46,7 +46,7 @@
             if method == "POST" and uri == "/fault":
                 return self._fault(body)
             if method == "POST" and uri == "/mend":
-                return _json(self._fault_injector.mend_all())
+                return _json(self._fault_injector.revert_all())
             if method == "POST" and uri == "/load":
                 self._lab.start_load(max(0.0, _load.decode(body).factor))
                 return _json("users submit jobs")
--- a/badgerseam/lab/demo.py
+++ b/badgerseam/lab/demo.py
@@ -85,7 +85,7 @@
         await asyncio.sleep(0.3)
     say(why_text(await why()))
     say("The cloud has machines again.")
-    breaker.mend_all()
+    breaker.revert_all()
     await until_phase("running")
     say("It runs. Now all three controllers are ended at once.")
     breaker.apply(Fault("kill", "all"))
--- a/badgerseam/lab/experiment.py
+++ b/badgerseam/lab/experiment.py
@@ -108,7 +108,7 @@
             await asyncio.sleep(0.1)
         assert lab.load is not None
         lab.load.stop_arrivals()
-        breaker.mend_all()
+        breaker.revert_all()
         until = lab.history.now() + experiment.settle_s
         while lab.load.open and lab.history.now() < until:
             _sample(lab, samples)
--- a/badgerseam/lab/fault_injector.py
+++ b/badgerseam/lab/fault_injector.py
@@ -39,7 +39,7 @@
         self._lab.history.add("fault", about=fault.do, text=text)
         return text
 
-    def mend_all(self) -> str:
+    def revert_all(self) -> str:
         """Revert all faults that can be reverted; what was done."""
         names = self._active.revert_all()
         return f"mended: {', '.join(names)}" if names else "nothing was broken"
