--- a/badgerseam/lab/lab_status.py
+++ b/badgerseam/lab/lab_status.py
@@ -17,7 +17,7 @@
         "machines": {
             "rented": len(lab.cloud_core.machines),
             "up": len(lab.machines),
-            "spent": round(lab.cloud_core.money(), 4),
+            "spent": round(lab.cloud_core.cost(), 4),
         },
         "tasks": _task_counts(lab),
         "users": _load_status(lab),
--- a/badgerseam/lab/summary.py
+++ b/badgerseam/lab/summary.py
@@ -147,7 +147,7 @@
         polls=requests.polls,
         failed_polls=requests.failed_polls,
         machines_rented=sum(event.kind == "machine" for event in events),
-        cost=round(lab.cloud_core.money(), 4),
+        cost=round(lab.cloud_core.cost(), 4),
         controllers_started=sum(controller.starts for controller in controllers),
         crashes=sum(controller.crashes for controller in controllers),
         violations=[str(violation) for violation in verdict.violations],
