--- a/badgerseam/lab/lab.py
+++ b/badgerseam/lab/lab.py
@@ -100,7 +100,7 @@
         )
         self.state_service = StateService(self.state_core, clock)
         self.cloud_service = CloudService(self.cloud_core)
-        self.cloud_service.rented = self._on_machines_rented
+        self.cloud_service.on_rented = self._on_machines_rented
         self.results = Results()
         self.machines: dict[str, MachineProcess] = {}
         self.nodes = [f"node-{number}" for number in range(site.controllers)]
--- a/badgerseam/lab/services.py
+++ b/badgerseam/lab/services.py
@@ -152,7 +152,7 @@
     def __init__(self, core: CloudCore) -> None:
         self._core = core
         self.down = False
-        self.rented: Callable[[list[str]], None] = lambda names: None
+        self.on_rented: Callable[[list[str]], None] = lambda names: None
         """Is told of machines that have just been rented."""
 
     def handle(self, method: str, uri: str, body: bytes) -> Reply:
@@ -179,7 +179,7 @@
             return Reply(200, cloud_wire.encode(page))
         if path == "/machines" and method == "POST":
             names = core.rent(_rent.decode(body))
-            self.rented(names)
+            self.on_rented(names)
             return Reply(200, cloud_wire.encode(cloud_wire.MachineNames(names)))
         if path == "/machines/release" and method == "POST":
             names = _release.decode(body).hosts
