--- a/badgerseam/lab/cloud.py
+++ b/badgerseam/lab/cloud.py
@@ -63,7 +63,7 @@
     """Machines at once of each type, zone and kind."""
     never_up: float = 0.0
     """Part of the machines that never come up."""
-    ended: Callable[[RentedMachine], None] = lambda machine: None
+    on_machine_gone: Callable[[RentedMachine], None] = lambda machine: None
     """Is told when a machine and all on it is gone."""
     machines: dict[str, RentedMachine] = field(default_factory=dict)
     past: list[RentedMachine] = field(default_factory=list)
@@ -124,13 +124,13 @@
         machine = self.machines.get(name)
         if machine is not None and machine.died is None:
             machine.died = self.clock.now()
-            self.ended(machine)
+            self.on_machine_gone(machine)
 
     def _remove(self, machine: RentedMachine) -> None:
         del self.machines[machine.name]
         machine.gone = self.clock.now()
         self.past.append(machine)
-        self.ended(machine)
+        self.on_machine_gone(machine)
 
     def page(self, after: str, limit: int) -> wire.MachinePage:
         """The list as it was a while ago, perhaps longer than the time before."""
