--- a/badgerseam/lab/controller_faults.py
+++ b/badgerseam/lab/controller_faults.py
@@ -1,4 +1,4 @@
-"""Faults of controllers: killed, hung, started from other sources, rolled out."""
+"""Faults of controllers: kills, hangs, restarts from another source tree, and rollouts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from badgerseam.rollout.rolling_update import RollingUpdate, RolloutStoppedError
 
 NOT_RESTARTED = ("given up", "stopped")
-"""States of a controller process that is not started again by itself."""
+"""States in which a controller process is not restarted automatically."""
 
 
 class ControllerFaults:
@@ -27,7 +27,7 @@
         self._rollouts = BackgroundTasks()
 
     def handlers(self) -> dict[str, FaultHandler]:
-        """The handler of each kind of fault."""
+        """Returns the handler of each kind of fault."""
         return {
             "kill": self._kill,
             "hang": self._hang,
@@ -54,7 +54,7 @@
         return f"{_description(fault, nodes)} by {fault.to or 'these sources'}"
 
     def _end_each(self, fault: Fault, nodes: list[str], checkout: Checkout | None) -> None:
-        """End controllers: one after the other, at random moments, or all now."""
+        """Ends controllers: one after the other, at random moments, or all now."""
         for position, node in enumerate(nodes):
             end = partial(self._end, fault, self._lab.controllers[node], checkout)
             if fault.target == "each" and position:
@@ -65,8 +65,8 @@
                 end()
 
     def _end(self, fault: Fault, controller: ControllerProcess, checkout: Checkout | None) -> None:
-        """End a controller, which is a failure until it has been started again."""
-        starts = controller.starts
+        """Ends a controller; that is a failure until the controller has been restarted."""
+        starts_before = controller.starts
         if checkout is None:
             has_ended = controller.kill(fault.back_s)
         else:
@@ -74,11 +74,11 @@
         if has_ended:
             self._active.failure_until(
                 f"{controller.node} ended",
-                lambda: controller.starts > starts or controller.state in NOT_RESTARTED,
+                lambda: controller.starts > starts_before or controller.state in NOT_RESTARTED,
             )
 
     def _roll_out(self, fault: Fault) -> str:
-        """Replace all controllers one after the other as operators would."""
+        """Replaces all controllers one after the other, as operators do in a rollout."""
         lab = self._lab
         target = LabRolloutTarget(lab, self._checkout(fault))
 
@@ -97,7 +97,7 @@
         return f"rollout of {fault.to or 'these sources'}"
 
     def _targets(self, fault: Fault) -> list[str]:
-        """The controllers that a fault names."""
+        """Returns the controllers that a fault names; LabError if one does not exist."""
         nodes = self._lab.nodes
         if fault.target in ("all", "each"):
             return nodes
@@ -110,7 +110,7 @@
         return names
 
     def _checkout(self, fault: Fault) -> Checkout:
-        """The sources that a fault names."""
+        """Returns the source tree that a fault names; LabError if there is none."""
         checkout = self._lab.checkouts.get(fault.to)
         if checkout is None:
             known = ", ".join(filter(None, self._lab.checkouts)) or "none"
--- a/badgerseam/lab/fault_injector.py
+++ b/badgerseam/lab/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects faults into a lab, and reverts them."""
+"""The registry of all kinds of faults, which injects and reverts them."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 
     @property
     def kinds(self) -> set[str]:
-        """The kinds of faults that can be injected."""
+        """Names of the kinds of faults that can be injected."""
         return set(self._handlers)
 
     def apply(self, fault: Fault) -> str:
-        """Inject a fault; what was done. LabError if the fault names nothing there is."""
+        """Injects a fault and returns a description; LabError if its target does not exist."""
         text = self._handlers[fault.do](fault)
         self._lab.history.add("fault", about=fault.do, text=text)
         return text
 
     def revert_all(self) -> str:
-        """Revert all faults that can be reverted; what was done."""
+        """Reverts all faults that can be reverted, and returns a description."""
         names = self._active.revert_all()
         return f"mended: {', '.join(names)}" if names else "nothing was broken"
--- a/badgerseam/lab/lab_rollout.py
+++ b/badgerseam/lab/lab_rollout.py
@@ -1,4 +1,4 @@
-"""A lab, as a rollout is played on it."""
+"""Rollouts on a lab's controllers."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class LabRolloutTarget:
-    """A lab, as a rollout is played on it."""
+    """Adapts a lab to the rolling update, which replaces its controllers one by one."""
 
-    def __init__(self, lab: Lab, tree: Checkout) -> None:
+    def __init__(self, lab: Lab, checkout: Checkout) -> None:
         self._lab = lab
-        self._tree = tree
+        self._checkout = checkout
 
     async def view(self, node: str) -> RolloutView | None:
-        """How a controller sees the site; None if it does not answer."""
+        """Returns a controller's view of the site; None if the controller does not answer."""
         return await request_view(self._lab.addresses[node])
 
     async def drain(self, node: str) -> str | None:
-        """Ask a controller to leave; why it refused, or None."""
+        """Asks a controller to leave; returns None, or why it refused or did not answer."""
         try:
             response = await ServiceClient(self._lab.addresses[node], 1.0).request(
                 "POST", "/rollout/leave", b"{}"
@@ -31,5 +31,5 @@
         return None if response.status == 200 else refusal_text(response)
 
     async def replace(self, node: str) -> None:
-        """End a controller's process, and have it start from the new program."""
-        self._lab.controllers[node].replace(self._tree)
+        """Ends a controller's process and restarts it from the new source tree."""
+        self._lab.controllers[node].replace(self._checkout)
--- a/badgerseam/lab/message_faults.py
+++ b/badgerseam/lab/message_faults.py
@@ -1,4 +1,4 @@
-"""Faults of single messages between controllers and workers: repeated, or delivered late."""
+"""Faults of single messages between controllers and workers: duplicates and delays."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from badgerseam.lab.lab import Lab
 
 NEXT_LEADER = "next-leader"
-"""To whom copies of heartbeats are sent that are kept back until then."""
+"""Value of `to` for copies of heartbeats that are kept until there is a new leader."""
 
 
 class MessageFaults:
-    """Repeats heartbeats, and delays direct commands."""
+    """Duplicates heartbeats and delays direct commands."""
 
     def __init__(self, lab: Lab, active: ActiveFaults) -> None:
         self._lab = lab
         self._active = active
 
     def handlers(self) -> dict[str, FaultHandler]:
-        """The handler of each kind of fault."""
+        """Returns the handler of each kind of fault."""
         return {"copies": self._copy_heartbeats, "late-commands": self._delay_commands}
 
     def _copy_heartbeats(self, fault: Fault) -> str:
-        """Copies of a part of the heartbeats are delivered late, also after this is reverted."""
+        """Delivers copies of a fraction of the heartbeats late, some of them after the revert."""
         late_heartbeats = self._lab.late_heartbeats
         if fault.to not in ("", NEXT_LEADER):
             raise LabError(f"to: {fault.to!r}: {NEXT_LEADER}, or empty")
@@ -31,14 +31,14 @@
         late_heartbeats.for_next_leader = fault.to == NEXT_LEADER
 
         def revert() -> None:
-            late_heartbeats.end()
+            late_heartbeats.stop_copying()
             self._active.failure_until("copies under way", lambda: not late_heartbeats.in_flight)
 
         recipient = " for the next leader" if late_heartbeats.for_next_leader else ""
         return self._active.add(fault, f"copies of reports{recipient}", revert)
 
     def _delay_commands(self, fault: Fault) -> str:
-        """A part of the direct commands gets no answer, and is carried out late."""
+        """Leaves a fraction of the direct commands without an answer and executes them late."""
         late_commands = self._lab.late_commands
         late_commands.fraction = fraction_of(fault, "direct commands")
 
--- a/badgerseam/lab/service_faults.py
+++ b/badgerseam/lab/service_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the state service and the cloud as a whole."""
+"""Outages of the state service and the cloud, and exhausted capacity."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class ServiceFaults:
-    """Takes a lab's services down, or the cloud's capacity away."""
+    """Injects outages of a lab's services, and removes the cloud's capacity."""
 
     def __init__(self, lab: Lab, active: ActiveFaults) -> None:
         self._lab = lab
         self._active = active
 
     def handlers(self) -> dict[str, FaultHandler]:
-        """The handler of each kind of fault."""
+        """Returns the handler of each kind of fault."""
         return {
             "state-down": self._take_state_service_down,
             "cloud-down": self._take_cloud_down,
@@ -37,7 +37,7 @@
         return self._active.add(fault, "cloud down", revert)
 
     def _exhaust_capacity(self, fault: Fault) -> str:
-        """No offer of the cloud has a machine left."""
+        """Leaves all offers of the cloud without capacity."""
         core = self._lab.cloud_core
         core.exhausted_offers |= {
             (machine_type.name, zone, spot)
