--- a/badgerseam/lab/services.py
+++ b/badgerseam/lab/services.py
@@ -143,7 +143,7 @@
                 found = self._core.changes(prefix, revision)
                 if found.events or self._clock.now() >= until:
                     return _json(200, found)
-            await self._core.change(max(0.02, min(until - self._clock.now(), 0.5)))
+            await self._core.wait_for_change(max(0.02, min(until - self._clock.now(), 0.5)))
 
 
 class CloudService:
--- a/badgerseam/lab/state.py
+++ b/badgerseam/lab/state.py
@@ -223,7 +223,7 @@
         found.reverse()
         return wire.Changes(self.revision, found)
 
-    async def change(self, wait_s: float) -> None:
+    async def wait_for_change(self, wait_s: float) -> None:
         """Waits for the next change of any key, for at most `wait_s` seconds."""
         try:
             await asyncio.wait_for(self._changed.wait(), wait_s)
