--- a/badgerseam/lab/worker.py
+++ b/badgerseam/lab/worker.py
@@ -103,7 +103,7 @@
         self._total = total
         self._describe = describe
         self._results = results
-        self._watch = observer
+        self._observer = observer
         self._fetch_gb_per_s = fetch_gb_per_s
         self._cache_gb = cache_gb
         self.session = 1
@@ -198,7 +198,7 @@
         else:
             self.tasks[new.task] = new
             self.changed = True
-            self._watch("launch", self.identity.name, new.task, new.attempt)
+            self._observer("launch", self.identity.name, new.task, new.attempt)
             if job.image in self.images or job.image_gb <= 0:
                 self._start(new)
             else:
@@ -240,7 +240,7 @@
         held.phase = "running"
         held.ran_s = self._results.progress_s.get(held.task, 0.0)
         self.changed = True
-        self._watch("on", self.identity.name, held.task, held.attempt)
+        self._observer("on", self.identity.name, held.task, held.attempt)
         if held.task in self._results.done:
             self._exit(held, "done")
         elif held.job.broken or self.faulty:
@@ -254,9 +254,9 @@
         if held.on:
             held.on = False
             event = "done" if cause == "done" else "off"
-            self._watch(event, self.identity.name, held.task, held.attempt)
+            self._observer(event, self.identity.name, held.task, held.attempt)
         else:
-            self._watch("drop", self.identity.name, held.task, held.attempt)
+            self._observer("drop", self.identity.name, held.task, held.attempt)
         image = held.job.image
         if image in self._fetched and not any(
             h.phase == "fetching" and h.job.image == image for h in self.tasks.values()
@@ -309,9 +309,9 @@
         for held in self.tasks.values():
             if held.on:
                 held.on = False
-                self._watch("off", self.identity.name, held.task, held.attempt)
+                self._observer("off", self.identity.name, held.task, held.attempt)
             elif held.phase == "fetching":
-                self._watch("drop", self.identity.name, held.task, held.attempt)
+                self._observer("drop", self.identity.name, held.task, held.attempt)
         self.tasks.clear()
         self._fetched.clear()
         self.session += 1
