--- a/badgerseam/lab/machines.py
+++ b/badgerseam/lab/machines.py
@@ -70,7 +70,7 @@
         self._nodes = nodes
         self._links = links
         self._random = random
-        self._copied = on_heartbeat_sent
+        self._on_heartbeat_sent = on_heartbeat_sent
         self._late_commands = late_commands
         self._delayed_commands: set[asyncio.Task[None]] = set()
         """Direct commands to this machine that are delayed."""
@@ -183,7 +183,7 @@
                 await self._links.wait_while_broken(name, CONTROLLERS)
                 await self._links.wait_while_broken(zone_end(core.identity.zone), CONTROLLERS)
                 await self._links.wait_while_broken(self._controller, zone_end(core.identity.zone))
-                self._copied(body)
+                self._on_heartbeat_sent(body)
                 response = await self._http.request(
                     self._nodes[self._controller], "POST", "/checkin", body, RESPONSE_S
                 )
