--- a/badgerseam/lab/demo.py
+++ b/badgerseam/lab/demo.py
@@ -91,7 +91,7 @@
         await asyncio.sleep(0.3)
     say(why_text(await why()))
     say("The cloud has capacity again.")
-    injector.mend_all()
+    injector.revert_all()
     await until_phase("running")
     say("The job runs. All three controllers are killed at once.")
     injector.apply(Fault("kill", "all"))
--- a/badgerseam/lab/experiment.py
+++ b/badgerseam/lab/experiment.py
@@ -117,7 +117,7 @@
             await asyncio.sleep(0.1)
         assert lab.load is not None
         lab.load.stop_arrivals()
-        injector.mend_all()
+        injector.revert_all()
         deadline = lab.history.now() + experiment.settle_s
         while lab.load.open and lab.history.now() < deadline:
             _add_sample(lab, samples)
