--- a/tests/runs/test_run_records.py
+++ b/tests/runs/test_run_records.py
@@ -143,7 +143,7 @@
     fixture = RunController(**changes)
     controllers = [
         fixture,
-        *(RunController(beside=fixture, node=node, **changes) for node in ("n-1", "n-2")),
+        *(RunController(peer=fixture, node=node, **changes) for node in ("n-1", "n-2")),
     ]
     delayed = DelayedCommitter()
     for controller in controllers:
