--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -327,8 +327,8 @@
 
 
 def test_demand_within_a_guarantee_evacuates_only_borrowers_of_other_shards() -> None:
-    # A borrower team's tasks may fill all available machines. Work within another team's guarantee
-    # then waits in another shard, where the planner finds nothing to evict.
+    # The tasks of a borrowing team may fill all available machines. Work within another team's
+    # guarantee then waits in another shard, where the planner finds nothing to evict.
     teams = [Team("blue", 0.0, 0.0), Team("red", 16.0, 64.0)]
     fixture = ControllerFixture(teams, shards=2)
     fixture.own(0)
@@ -357,7 +357,7 @@
     assert select_machines(4) == {1: ["m-1"]}
     assert select_machines(4) == {}, "the next evacuation has to wait for the interval"
     fixture.clock.time += 4.0
-    # The same team beyond its guarantee is a borrower like the borrower team.
+    # Beyond its guarantee, the team red is a borrower like the team blue.
     large = fixture.job(id="job-000003", owner="red", pieces=8)
     elsewhere = fixture.machine("m-9", shard=1)
     for task in range(8):
