--- a/badgerseam/api/rollout.py
+++ b/badgerseam/api/rollout.py
@@ -30,14 +30,14 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         level_upgrade: LevelUpgrade,
         handover: Handover,
         refresh: PageRefresh,
         migration: RecordMigration,
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._level_upgrade = level_upgrade
         self._handover = handover
         self._refresh = refresh
@@ -73,7 +73,7 @@
         if refusal is not None:
             return refusal
         try:
-            await self._level_upgrade.set_target(level, self._member.node)
+            await self._level_upgrade.set_target(level, self._membership.node)
         except ConditionFailedError:
             return error_reply(409, "another operator was faster: look at the status")
         return self.view()
@@ -91,7 +91,7 @@
 
     def view(self) -> Reply:
         """Returns the state of the rollout, according to this controller's replica."""
-        model, member, level_upgrade = self._model, self._member, self._level_upgrade
+        model, membership, level_upgrade = self._model, self._membership, self._level_upgrade
         with model.lock:
             next_level = level_upgrade.next_level()
             leader = model.leader_claim
@@ -105,7 +105,7 @@
                 [] if next_level is None else level_upgrade.obstacles(next_level),
                 [shard.index for shard in model.shards if shard.claim is None],
                 None if leader is None else leader.record.node,
-                [self._controller_view(name, owners) for name in member.order],
+                [self._controller_view(name, owners) for name in membership.order],
                 self._own_view(),
             )
         return Reply(200, wire.encode(view))
@@ -126,7 +126,7 @@
 
     def _own_state(self) -> str:
         """Returns the state of this controller as the command line names it."""
-        if self._member.is_unavailable(UnavailableReason.UNSUPPORTED_LEVEL):
+        if self._membership.is_unavailable(UnavailableReason.UNSUPPORTED_LEVEL):
             return "unfit"
         if not self._model.loaded:
             return "starting"
@@ -148,7 +148,7 @@
                     for machine in model.shard_machines[shard.index].values()
                 )
         return wire.OwnView(
-            self._member.node,
+            self._membership.node,
             self._own_state(),
             self._handover.may_stop,
             model.is_up_to_date,
--- a/badgerseam/api/users.py
+++ b/badgerseam/api/users.py
@@ -61,7 +61,7 @@
         model: Model,
         state: StateClient,
         ledger: Ledger,
-        member: Membership,
+        membership: Membership,
         worker_manager: WorkerManager,
         redirect_reason: Callable[[], str | None],
         explain: ExplainApi | None = None,
@@ -73,7 +73,7 @@
         replicas: ReplicasOptions | None = None,
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._worker_manager = worker_manager
         self._redirect_reason = redirect_reason
         self._rollout = rollout
@@ -125,7 +125,7 @@
         unsupported_reason = self._model.unsupported_reason
         if unsupported_reason is not None:
             return error_reply(503, unsupported_reason, UNSUPPORTED_RETRY_AFTER_S)
-        if self._member.is_unavailable(UnavailableReason.DRAINING):
+        if self._membership.is_unavailable(UnavailableReason.DRAINING):
             return error_reply(503, "leaving", UNSUPPORTED_RETRY_AFTER_S)
         if self._model.loaded and self._model.types and self._redirect_reason() is None:
             return Reply(200, b'{"ready":true}')
--- a/badgerseam/classes/class_record.py
+++ b/badgerseam/classes/class_record.py
@@ -84,14 +84,18 @@
     and writes classes that operators set."""
 
     def __init__(
-        self, model: Model, member: Membership, committer: GroupCommitter, options: ClassesOptions
+        self,
+        model: Model,
+        membership: Membership,
+        committer: GroupCommitter,
+        options: ClassesOptions,
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._committer = committer
         self._clock = model.clock
         self._options = options
-        self.digest = member.registration.classes_digest = digest_of(options)
+        self.digest = membership.registration.classes_digest = digest_of(options)
         self._writing = False
         self._retry_at = -math.inf
         self._logged_objections: tuple[Objection, ...] = ()
@@ -107,7 +111,7 @@
 
     def objections(self) -> list[Objection]:
         """Returns the controllers whose options differ from those of this one, with reasons."""
-        return objections(self.digest, self._member.order, self._model.controllers)
+        return objections(self.digest, self._membership.order, self._model.controllers)
 
     def review(self) -> None:
         """Writes the record if an update is due and no controller's options differ.
@@ -117,7 +121,7 @@
         now = self._clock.now()
         if not self._model.loaded or self._writing or now < self._retry_at:
             return
-        if not self._member.is_leader:
+        if not self._membership.is_leader:
             self._logged_objections = ()
             return
         # While no update is due, a controller that is down is no objection.
@@ -125,7 +129,7 @@
         found = tuple(
             objections(
                 self.digest,
-                self._member.order,
+                self._membership.order,
                 self._model.controllers,
                 include_absent=is_due,
             )
@@ -144,16 +148,16 @@
                 log.info('class record update blocked objections="%s"', reasons)
 
     async def _write(self) -> None:
-        model, member = self._model, self._member
+        model, membership = self._model, self._membership
         try:
             with model.lock:
                 leader = model.leader_claim
                 if leader is None or self.objections():
                     # The leader has changed, or an objection has appeared, since the review.
                     return
-                versions = conditions(member.order, model.controllers, model.classes, leader)
+                versions = conditions(membership.order, model.controllers, model.classes, leader)
                 changed_at = round(self._clock.wall(), 3)
-                record = to_record(self._options, member.node, changed_at, self.digest)
+                record = to_record(self._options, membership.node, changed_at, self.digest)
             await self._commit(record, versions, Urgency.CLAIM)
         except (
             ConditionFailedError,
@@ -175,21 +179,21 @@
         StateUnavailableError or ProposalDroppedError if it is unknown whether the write was
         applied.
         """
-        model, member = self._model, self._member
+        model, membership = self._model, self._membership
         with model.lock:
             # A controller that is down prevents nothing: it reads the record when it restarts.
             found = [
                 entry
                 for entry in objections(
-                    self.digest, member.order, model.controllers, include_absent=False
+                    self.digest, membership.order, model.controllers, include_absent=False
                 )
                 if not model.controllers[entry.node].record.classes_digest
             ]
             if found:
                 return found
-            versions = conditions(member.order, model.controllers, model.classes)
+            versions = conditions(membership.order, model.controllers, model.classes)
             changed_at = round(self._clock.wall(), 3)
-            record = to_record(options, f"operator at {member.node}", changed_at, self.digest)
+            record = to_record(options, f"operator at {membership.node}", changed_at, self.digest)
         await self._commit(record, versions, Urgency.USER)
         return []
 
@@ -197,7 +201,7 @@
         self, record: wire.StoredClasses, versions: dict[str, int], urgency: Urgency
     ) -> None:
         value = wire.raw(record)
-        still_wanted = (lambda: self._member.is_leader) if LEADER_KEY in versions else None
+        still_wanted = (lambda: self._membership.is_leader) if LEADER_KEY in versions else None
         revision = await self._committer.commit(
             urgency,
             versions,
--- a/badgerseam/cluster/heartbeat_proxy.py
+++ b/badgerseam/cluster/heartbeat_proxy.py
@@ -76,15 +76,15 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         state: StateClient,
         committer: GroupCommitter,
         ttl_s: float,
         is_unreachable: Callable[[str], bool],
     ) -> None:
-        self.partition = PartitionedOperation(model, member, self.owners_assume_renewals_in)
+        self.partition = PartitionedOperation(model, membership, self.owners_assume_renewals_in)
         self._model = model
-        self._member = member
+        self._membership = membership
         self._state = state
         self._committer = committer
         self._ttl_s = ttl_s
@@ -122,15 +122,15 @@
     def is_proxy_for(self, shard: Shard, zone: str) -> bool:
         """Whether this controller answers heartbeats of the shard's workers in a zone as a proxy
         for its owner."""
-        claim, member = shard.claim, self._member
-        if claim is None or claim.record.node == member.node:
+        claim, membership = shard.claim, self._membership
+        if claim is None or claim.record.node == membership.node:
             return False
         if not self._is_unreachable(claim.record.node):
             return False
-        if not member.may_renew_worker_leases:
+        if not membership.may_renew_worker_leases:
             return False
-        if claim.record.node in self._announced and member.lease_is_current:
-            return self._model.is_up_to_date and self._announced_lease == member.lease
+        if claim.record.node in self._announced and membership.lease_is_current:
+            return self._model.is_up_to_date and self._announced_lease == membership.lease
         return self.owners_assume_renewals_in(zone)
 
     def launch_may_be_delayed(self, machine: Machine, heartbeat: Heartbeat) -> bool:
@@ -158,40 +158,40 @@
         """Whether owners assume that this controller may renew leases in a zone although no proxy
         record names them: its controller record must have been removed with its lease, and the
         partition bound must not have passed."""
-        member = self._member
+        membership = self._membership
         return (
             zone == self._zone
-            and not member.lease_confirmed_within(self._ttl_s + LEASE_END_SLACK_S)
-            and member.may_renew_worker_leases
+            and not membership.lease_confirmed_within(self._ttl_s + LEASE_END_SLACK_S)
+            and membership.may_renew_worker_leases
         )
 
     def review(self) -> None:
         """Keep the proxy record up to date; called a few times a second."""
-        model, member = self._model, self._member
-        if not model.loaded or self._is_writing or not member.lease_is_current:
+        model, membership = self._model, self._membership
+        if not model.loaded or self._is_writing or not membership.lease_is_current:
             return
         wanted = frozenset(
             name
             for name in self._peer_zones
             if name in model.controllers and self._is_unreachable(name)
         )
-        known = model.proxies.get(member.node)
+        known = model.proxies.get(membership.node)
         named: frozenset[str] = frozenset()
-        if known is not None and known.record.lease == member.lease:
+        if known is not None and known.record.lease == membership.lease:
             named = frozenset(known.record.owners)
         # From now on this controller is no longer a proxy for the owners that the record is to
         # drop, whether or not the write succeeds.
         self._announced = wanted & named
-        self._announced_lease = member.lease
+        self._announced_lease = membership.lease
         version = 0 if known is None else known.version
-        unconfirmed = self._unconfirmed_write_for(member.lease, version)
+        unconfirmed = self._unconfirmed_write_for(membership.lease, version)
         if unconfirmed is not None:
             # If that write is executed late, the record names other owners: those that it drops
             # stop assuming renewals before this replica shows it.
             self._announced &= unconfirmed.owners
-        if (wanted != named or unconfirmed is not None) and member.lease is not None:
+        if (wanted != named or unconfirmed is not None) and membership.lease is not None:
             self._is_writing = True
-            self._tasks.spawn(self._write_record(wanted, member.lease, version))
+            self._tasks.spawn(self._write_record(wanted, membership.lease, version))
 
     def _unconfirmed_write_for(self, lease: int | None, version: int) -> UnconfirmedWrite | None:
         """Returns the write without a response for this lease and version, or None."""
@@ -203,8 +203,8 @@
     async def _write_record(self, owners: frozenset[str], lease: int, version: int) -> None:
         # A proxy record is removed only by the end of its lease. One that was written and deleted
         # between two checks would leave no trace for the owners.
-        key = proxy_key(self._member.node)
-        record = wire.ProxyRecord(self._member.node, lease, sorted(owners))
+        key = proxy_key(self._membership.node)
+        record = wire.ProxyRecord(self._membership.node, lease, sorted(owners))
         write = wire.Write(put=key, value=wire.raw(record), lease=lease)
         try:
             revision = await self._committer.commit(
@@ -212,7 +212,7 @@
                 {key: version},
                 [write],
                 DEADLINE_S,
-                wanted=lambda: self._member.lease == lease,
+                wanted=lambda: self._membership.lease == lease,
             )
             with self._model.lock:
                 self._model.apply(key, write.value, revision)
@@ -249,7 +249,7 @@
             self._observe_proxy(name, has_reloaded, now)
 
     def _observe_outage(self, now: float) -> None:
-        if not self._member.lease_confirmed_within(self._ttl_s / 2):
+        if not self._membership.lease_confirmed_within(self._ttl_s / 2):
             self._was_disconnected = True
         elif self._was_disconnected:
             # After an outage every lease starts again with its full time to live, including that
@@ -278,7 +278,7 @@
     def _observe_proxy(self, name: str, has_reloaded: bool, now: float) -> None:
         """Record whether a peer is a proxy for this controller, or was since the last call."""
         proxy = self._model.proxies.get(name)
-        node = self._member.node
+        node = self._membership.node
         named_at = self._model.proxy_bounds.get((name, node), 0)
         is_named = proxy is not None and node in proxy.record.owners
         before = self._own_proxies.get(name)
--- a/badgerseam/cluster/partition.py
+++ b/badgerseam/cluster/partition.py
@@ -47,12 +47,12 @@
     service answers their heartbeats."""
 
     def __init__(
-        self, model: Model, member: Membership, owners_assume_renewals_in: Callable[[str], bool]
+        self, model: Model, membership: Membership, owners_assume_renewals_in: Callable[[str], bool]
     ) -> None:
         """`owners_assume_renewals_in`: whether owners assume that this controller may renew leases
         of their workers in a zone."""
         self._model = model
-        self._member = member
+        self._membership = membership
         self._owners_assume_renewals_in = owners_assume_renewals_in
         self._superseded_terms: dict[tuple[int, str], int] = {}
         """This controller's term that a worker's token has proved to be superseded, by shard and
@@ -63,7 +63,7 @@
     @property
     def is_partitioned(self) -> bool:
         """Whether the state service certainly serves other controllers, but not this one."""
-        return not self._member.lease_is_current and any(
+        return not self._membership.lease_is_current and any(
             self._model.shards[index].owned and self._model.shards[index].term == term
             for (index, _), term in self._superseded_terms.items()
         )
@@ -110,7 +110,7 @@
     def _reset_if_connected(self) -> bool:
         """Whether the state service has renewed the lease recently; if so, forgets the tokens seen
         before."""
-        if not self._member.lease_is_current:
+        if not self._membership.lease_is_current:
             return False
         self._superseded_terms.clear()
         self._redirected_tokens.clear()
--- a/badgerseam/cluster/watch_health.py
+++ b/badgerseam/cluster/watch_health.py
@@ -49,16 +49,16 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         state: StateClient,
         request_takeover: RequestTakeover,
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._state = state
         self._request_takeover = request_takeover
         self._clock = model.clock
-        self._max_renewal_age_s = member.claim_ttl_s / 2
+        self._max_renewal_age_s = membership.claim_ttl_s / 2
         """Age in seconds from which the last lease renewal no longer proves that the state service
         can be reached."""
         self._checked_at = self._clock.now()
@@ -77,19 +77,19 @@
         self._checked_at = now
         is_answered = self._model.followed_at != self._followed_at
         self._followed_at = self._model.followed_at
-        if is_answered or not self._member.lease_confirmed_within(self._max_renewal_age_s):
+        if is_answered or not self._membership.lease_confirmed_within(self._max_renewal_age_s):
             # If renewals fail as well, either the lease will end, or the state service has an
             # outage and no controller gets changes.
             self._stalled_s = 0.0
         else:
             self._stalled_s += step_s
-        if self._member.is_unavailable(UnavailableReason.WATCH_STALLED):
+        if self._membership.is_unavailable(UnavailableReason.WATCH_STALLED):
             self._resume_if_watch_is_stable(now)
         elif self._stalled_s > STALLED_S and self._has_claims():
             log.warning("watch stalled duration_s=%.1f", self._stalled_s)
             self._has_handed_over = False
             self._followed_since = None
-            self._member.mark_unavailable(UnavailableReason.WATCH_STALLED)
+            self._membership.mark_unavailable(UnavailableReason.WATCH_STALLED)
             self._handover = asyncio.ensure_future(self._hand_over_all())
 
     def _resume_if_watch_is_stable(self, now: float) -> None:
@@ -105,12 +105,14 @@
             self._min_watched_s = min(2 * self._min_watched_s, MAX_MIN_WATCHED_S)
         log.info("watch resumed")
         self._stalled_s = 0.0
-        self._member.mark_available(UnavailableReason.WATCH_STALLED)
+        self._membership.mark_available(UnavailableReason.WATCH_STALLED)
 
     def _has_claims(self) -> bool:
         """Whether the replica, which may be out of date, shows a claim of this controller."""
         claims = [*(shard.claim for shard in self._model.shards), self._model.leader_claim]
-        return any(claim is not None and claim.record.node == self._member.node for claim in claims)
+        return any(
+            claim is not None and claim.record.node == self._membership.node for claim in claims
+        )
 
     async def _read_own_claims(self) -> list[tuple[str, int]] | None:
         """Read the keys and versions of this controller's current claims, the leadership last;
@@ -126,19 +128,19 @@
                 entry = await self._state.get(key)
             except StateUnavailableError:
                 return None
-            if entry is not None and _owner_of(entry) == self._member.node:
+            if entry is not None and _owner_of(entry) == self._membership.node:
                 found.append((key, entry.version))
         return found
 
     def _peers_by_preference(self) -> list[str]:
         """Returns all peers, first those that are available by the replica."""
-        candidates = self._member.takeover_candidates()
+        candidates = self._membership.takeover_candidates()
         names = [sibling.node for sibling in self._model.settings.siblings]
         return candidates + [name for name in names if name not in candidates]
 
     def _is_stalled(self) -> bool:
         return (
-            self._member.is_unavailable(UnavailableReason.WATCH_STALLED)
+            self._membership.is_unavailable(UnavailableReason.WATCH_STALLED)
             and not self._model.is_up_to_date
         )
 
@@ -170,14 +172,14 @@
             return False
         if entry is None:
             return False
-        if _owner_of(entry) == self._member.node:
+        if _owner_of(entry) == self._membership.node:
             # A claim of this controller is not applied here: it may be acted on only once the
             # replica shows everything that was written before it.
             return False
         with self._model.lock:
             self._model.apply(key, entry.value, entry.version)
         self._has_handed_over = True
-        self._member.review()
+        self._membership.review()
         return True
 
 
--- a/badgerseam/explain/explainer.py
+++ b/badgerseam/explain/explainer.py
@@ -44,13 +44,13 @@
         self,
         model: Model,
         planner: Planner,
-        member: Membership,
+        membership: Membership,
         options: ExplainOptions,
         ask_owner: AskOwner,
         ask_leader: AskLeader,
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._clock = model.clock
         self._options = options
         self._ask_owner = ask_owner
@@ -104,8 +104,8 @@
         if (
             not shard.owned
             or shard.releasing
-            or not self._member.may_answer_heartbeats_for(shard)
-            or not self._member.lease_confirmed_within(MAX_LEASE_AGE_S)
+            or not self._membership.may_answer_heartbeats_for(shard)
+            or not self._membership.lease_confirmed_within(MAX_LEASE_AGE_S)
         ):
             raise NotOwnerError(str(shard.index))
 
@@ -118,7 +118,7 @@
             survey,
             survey.supply,
             now,
-            now - self._member.confirmed_at,
+            now - self._membership.confirmed_at,
             self.rules,
         )
         task_groups = group_tasks(context)
@@ -132,7 +132,7 @@
             "running" if job.running() else "pending",
             [_with_durations(group, since) for group in task_groups],
             jobs_ahead(context),
-            self._member.node,
+            self._membership.node,
             survey.revision,
             round(now - survey.at, 3),
             round(now - max(shard.owned_since, job.last_seen_at), 3),
@@ -180,14 +180,14 @@
         deadline = self._clock.now() + ANSWER_TIMEOUT_S
         while True:
             claim = shard.claim
-            if claim is None and self._member.lease_confirmed_within(MAX_LEASE_AGE_S):
+            if claim is None and self._membership.lease_confirmed_within(MAX_LEASE_AGE_S):
                 return [self._unowned_answer(shard, job_id) for job_id in ids]
             answers: list[Explanation] | None = None
             if claim is None:
                 # This controller cannot reach the state service: another one may have claimed the
                 # shard long ago.
                 pass
-            elif claim.record.node == self._member.node:
+            elif claim.record.node == self._membership.node:
                 try:
                     answers = await self.answer_locally(shard_index, ids)
                 except NotOwnerError:
@@ -220,7 +220,7 @@
             job_id,
             phase,
             [Group("waiting", waiting, [reason])] if waiting else [],
-            node=self._member.node,
+            node=self._membership.node,
             revision=self._model.revision,
         )
 
--- a/badgerseam/rollout/handover.py
+++ b/badgerseam/rollout/handover.py
@@ -41,7 +41,7 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         request_takeover: RequestTakeover,
         open_requests: Callable[[], int],
     ) -> None:
@@ -51,7 +51,7 @@
         user requests in progress.
         """
         self._model = model
-        self._member = member
+        self._membership = membership
         self._request_takeover = request_takeover
         self._open_requests = open_requests
         self._clock = model.clock
@@ -63,7 +63,7 @@
     @property
     def is_draining(self) -> bool:
         """Whether the controller was asked to drain and has not been asked to resume since."""
-        return self._member.is_unavailable(UnavailableReason.DRAINING)
+        return self._membership.is_unavailable(UnavailableReason.DRAINING)
 
     @property
     def is_drained(self) -> bool:
@@ -92,12 +92,12 @@
         """
         if self.is_draining:
             return None
-        if not self._member.takeover_candidates():
+        if not self._membership.takeover_candidates():
             return "no other controller would take its shares"
         log.info("drain requested")
         self._drained_at = None
         self._drain_started_at = self._clock.now()
-        self._member.mark_unavailable(UnavailableReason.DRAINING)
+        self._membership.mark_unavailable(UnavailableReason.DRAINING)
         self._task = self._tasks.spawn(self._drain())
         return None
 
@@ -106,7 +106,7 @@
         if self._task is not None:
             self._task.cancel()
         self._drained_at = None
-        self._member.mark_available(UnavailableReason.DRAINING)
+        self._membership.mark_available(UnavailableReason.DRAINING)
         log.info("resume requested")
 
     def _owned_claims(self) -> list[tuple[str, int]]:
@@ -114,14 +114,14 @@
 
         The leadership comes last, since the leader moves machines between shards.
         """
-        model, member = self._model, self._member
+        model, membership = self._model, self._membership
         claims = [
             (claim_key(shard.index), shard.claim.version)
             for shard in model.shards
-            if shard.claim is not None and shard.claim.record.node == member.node
+            if shard.claim is not None and shard.claim.record.node == membership.node
         ]
         leader = model.leader_claim
-        if leader is not None and leader.record.node == member.node:
+        if leader is not None and leader.record.node == membership.node:
             claims.append((LEADER_KEY, leader.version))
         return claims
 
@@ -142,7 +142,7 @@
     async def _announce(self) -> None:
         """Announces the drain to the peers, and retries until that succeeds."""
         while True:
-            is_announced = await self._member.announce_unavailable()
+            is_announced = await self._membership.announce_unavailable()
             if is_announced:
                 return
             await asyncio.sleep(ANNOUNCE_RETRY_DELAY_S)
@@ -150,7 +150,7 @@
     async def _hand_over(self, key: str, version: int) -> None:
         """Has a peer take over a claim; resigns the claim if all peers refuse."""
         has_response = False
-        for name in self._member.takeover_candidates():
+        for name in self._membership.takeover_candidates():
             is_taken = await self._request_takeover(name, key, version)
             has_response |= is_taken is not None
             if is_taken:
@@ -173,18 +173,18 @@
         without an owner.
         """
         waited_s = self._clock.now() - self._drain_started_at
-        return waited_s > self._member.claim_ttl_s + MAX_STATE_AGE_S and bool(
-            self._member.takeover_candidates()
+        return waited_s > self._membership.claim_ttl_s + MAX_STATE_AGE_S and bool(
+            self._membership.takeover_candidates()
         )
 
     def _resign(self, key: str) -> None:
         with self._model.lock:
             if key == LEADER_KEY:
-                self._member.resign_leadership()
+                self._membership.resign_leadership()
                 return
             shard = next(shard for shard in self._model.shards if claim_key(shard.index) == key)
             if shard.owned:
-                self._member.resign(shard)
+                self._membership.resign(shard)
 
     async def _is_claim_gone(self, key: str, version: int) -> bool:
         """Whether the state watcher shows, within `TAKEOVER_VISIBLE_S`, that this controller no
--- a/badgerseam/rollout/level_upgrade.py
+++ b/badgerseam/rollout/level_upgrade.py
@@ -53,10 +53,14 @@
     """Checks, on the leader, whether the site's level can be changed, and changes it."""
 
     def __init__(
-        self, model: Model, member: Membership, committer: GroupCommitter, options: RolloutOptions
+        self,
+        model: Model,
+        membership: Membership,
+        committer: GroupCommitter,
+        options: RolloutOptions,
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._committer = committer
         self._clock = model.clock
         self._options = options
@@ -86,7 +90,7 @@
             reason = f"level {model.level.level} cannot be undone: see docs/rollout.md"
             found.append(Obstacle("", reason))
         now = self._clock.now()
-        for name in self._member.order:
+        for name in self._membership.order:
             problem = self._controller_obstacle(name, level, now)
             if problem is not None:
                 found.append(Obstacle(name, problem))
@@ -122,7 +126,7 @@
             return
         now = self._clock.now()
         self._observe_sessions(now)
-        if self._is_changing or not self._member.is_leader or now < self._retry_at:
+        if self._is_changing or not self._membership.is_leader or now < self._retry_at:
             return
         level = self.next_level()
         if level is None:
@@ -155,9 +159,9 @@
 
     async def _change_level(self, level: int) -> None:
         """Changes the site's level in one transaction."""
-        model, member = self._model, self._member
+        model, membership = self._model, self._membership
         with model.lock:
-            if any(name not in model.controllers for name in member.order):
+            if any(name not in model.controllers for name in membership.order):
                 # A controller ended after the review had found no obstacle.
                 self._is_changing = False
                 return
@@ -165,7 +169,7 @@
             write = self._level_write(level)
         try:
             revision = await self._committer.commit(
-                Urgency.CLAIM, conditions, [write], DEADLINE_S, wanted=lambda: member.is_leader
+                Urgency.CLAIM, conditions, [write], DEADLINE_S, wanted=lambda: membership.is_leader
             )
             log.info("level changed level=%d name=%r", level, model.program.name(level))
             with model.lock:
@@ -192,7 +196,7 @@
         }
         if model.leader_claim is not None:
             conditions[LEADER_KEY] = model.leader_claim.version
-        for name in self._member.order:
+        for name in self._membership.order:
             conditions[node_key(name)] = model.controllers[name].version
         return conditions
 
@@ -201,7 +205,7 @@
             return wire.Write(delete=LEVEL_KEY)
         migrated = min(self._model.level.migrated, level)
         changed_at = round(self._clock.wall(), 3)
-        record = wire.SiteLevel(level, self._member.node, changed_at, migrated)
+        record = wire.SiteLevel(level, self._membership.node, changed_at, migrated)
         return wire.Write(put=LEVEL_KEY, value=wire.raw(record))
 
     async def set_target(self, level: int | None, node: str) -> None:
--- a/badgerseam/rollout/migration.py
+++ b/badgerseam/rollout/migration.py
@@ -98,13 +98,13 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         state: StateClient,
         committer: GroupCommitter,
         formats: Sequence[RecordFormat] = (),
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._state = state
         self._committer = committer
         self._formats = sorted(formats, key=lambda record_format: record_format.level)
@@ -127,7 +127,7 @@
         None if no migration is due or this controller is not the leader.
         """
         model = self._model
-        if not self._member.is_leader or not model.loaded or not model.is_supported:
+        if not self._membership.is_leader or not model.loaded or not model.is_supported:
             return None
         return next(iter(self._pending_formats()), None)
 
@@ -223,7 +223,7 @@
                 return
 
     def _is_leader(self) -> bool:
-        return self._member.is_leader
+        return self._membership.is_leader
 
     async def _mark_migrated(self, progress: PassProgress) -> None:
         """Writes into the level's record that a pass found no record in the older format."""
@@ -234,7 +234,7 @@
         if leader is None or site.version != progress.level_version:
             return
         marked_at = round(model.clock.wall(), 3)
-        record = wire.SiteLevel(site.level, self._member.node, marked_at, level)
+        record = wire.SiteLevel(site.level, self._membership.node, marked_at, level)
         write = wire.Write(put=LEVEL_KEY, value=wire.raw(record))
         try:
             revision = await self._committer.commit(
--- a/badgerseam/runs/run_lifecycle.py
+++ b/badgerseam/runs/run_lifecycle.py
@@ -48,10 +48,10 @@
     leader."""
 
     def __init__(
-        self, model: Model, member: Membership, committer: GroupCommitter, run_index: RunIndex
+        self, model: Model, membership: Membership, committer: GroupCommitter, run_index: RunIndex
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._committer = committer
         self._clock = model.clock
         self.index = run_index
@@ -78,7 +78,7 @@
                     counts=[counts.reckoned, counts.cancelled, counts.unresolved],
                     reasons=counts.reasons(),
                 )
-            await self.write(plan, number, record, lambda: self._member.is_leader)
+            await self.write(plan, number, record, lambda: self._membership.is_leader)
 
     async def write(
         self,
@@ -149,7 +149,7 @@
         The caller holds the model's lock.
         """
         model = self._model
-        if not self._member.is_leader or not model.loaded or not self.index.is_active:
+        if not self._membership.is_leader or not model.loaded or not self.index.is_active:
             return None
         wall = self._clock.wall()
         record, number = plan.record, plan.latest
@@ -177,14 +177,14 @@
     def _opened(self, window: RunWindow, wall: float) -> wire.StoredRun:
         """Returns the record of a run that opens now."""
         now = round(wall, 3)
-        return wire.StoredRun("open", now, window.opens, window.closes, self._member.node, now)
+        return wire.StoredRun("open", now, window.opens, window.closes, self._membership.node, now)
 
     def closing(self, record: wire.StoredRun) -> wire.StoredRun:
         """Returns the record of a run that accepts no more members and starts none."""
         return self._next(record, "closing")
 
     def _next(self, record: wire.StoredRun, phase: str, cutoff: int = 0) -> wire.StoredRun:
-        wall, node = round(self._clock.wall(), 3), self._member.node
+        wall, node = round(self._clock.wall(), 3), self._membership.node
         return wire.StoredRun(phase, record.opened, record.slot, record.closes, node, wall, cutoff)
 
     def _window_to_open(self, plan: PlanJobs, wall: float) -> RunWindow | None:
--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -76,7 +76,7 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         state: StateClient,
         options: StandbyOptions,
         ask: Ask,
@@ -87,14 +87,14 @@
         latest pause; `on_update`: receives each soft state update with the name of the peer that
         sent it."""
         self._model = model
-        self._member = member
+        self._membership = membership
         self._state = state
         self._options = options
         self._ask = ask
         self._lease_confirmed_since_pause = lease_confirmed_since_pause
         self._on_update = on_update
         self._clock = model.clock
-        self.peers = {name: PeerState() for name in member.order if name != member.node}
+        self.peers = {name: PeerState() for name in membership.order if name != membership.node}
         self._stepped_at = self._clock.now()
         self._answered_versions: dict[str, int] = {}
         """For each peer, the version of its record whose liveness request was answered."""
@@ -129,7 +129,9 @@
     # ---- probing ----
 
     async def _probe(self, name: str, peer: PeerState) -> None:
-        body = wire.encode(wire.FollowRequest(self._member.node, peer.process, peer.update_number))
+        body = wire.encode(
+            wire.FollowRequest(self._membership.node, peer.process, peer.update_number)
+        )
         try:
             update = wire.update_decoder.decode(
                 await self._ask(name, "/standby/follow", body, HOLD_S + RESPONSE_GRACE_S)
@@ -189,11 +191,11 @@
     def _answer_liveness_requests(self) -> None:
         """Respond to peers whose records name this controller, by writing its own record again."""
         for name, seen in self._model.controllers.items():
-            is_asked = self._member.node in seen.record.suspected
+            is_asked = self._membership.node in seen.record.suspected
             if is_asked and self._answered_versions.get(name) != seen.version:
                 self._answered_versions[name] = seen.version
                 log.info("liveness request received controller=%s", name)
-                self._member.registration.write_again()
+                self._membership.registration.write_again()
 
     # ---- suspecting peers ----
 
@@ -255,15 +257,15 @@
     def _clear_suspicion(self, name: str, peer: PeerState) -> None:
         peer.refusals = 0
         peer.suspicion = None
-        self._member.registration.suspected.discard(name)
+        self._membership.registration.suspected.discard(name)
 
     def _is_own_turn(self, name: str, suspicion: Suspicion, now: float) -> bool:
         """Whether the successors ranked before this controller have had their time to act."""
-        ranked = successors(self._model, self._member.order, name)
-        if self._member.node not in ranked:
+        ranked = successors(self._model, self._membership.order, name)
+        if self._membership.node not in ranked:
             return False
         turn_s = self._options.answer_s + SUCCESSOR_STAGGER_S
-        return now - suspicion.suspected_at >= turn_s * ranked.index(self._member.node)
+        return now - suspicion.suspected_at >= turn_s * ranked.index(self._membership.node)
 
     def _is_confirmed(self, name: str, peer: PeerState, suspicion: Suspicion, now: float) -> bool:
         """Whether workers or another peer have confirmed the suspicion; if not, asks the other
@@ -303,20 +305,20 @@
     def _request_liveness(self, name: str, suspicion: Suspicion, now: float) -> None:
         """Ask the peer through the state service whether it is running, by naming it in this
         controller's record."""
-        own = self._model.controllers.get(self._member.node)
+        own = self._model.controllers.get(self._membership.node)
         if own is None:
             return
         if suspicion.request_version == 0:
             suspicion.request_version = own.version
-            self._member.registration.suspected.add(name)
-            self._member.registration.write_again()
+            self._membership.registration.suspected.add(name)
+            self._membership.registration.write_again()
         elif suspicion.request_shown_at is None and own.version > suspicion.request_version:
             if name in own.record.suspected:
                 suspicion.request_shown_at = now
             else:
                 # The record was written for another reason, before it was to name the peer.
                 suspicion.request_version = own.version
-                self._member.registration.write_again()
+                self._membership.registration.write_again()
 
     async def _revoke_lease(self, name: str, peer: PeerState, suspicion: Suspicion) -> None:
         duration_s = self._clock.now() - peer.first_refused_at
--- a/badgerseam/standby/takeover_gate.py
+++ b/badgerseam/standby/takeover_gate.py
@@ -79,7 +79,7 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         options: StandbyOptions,
         ttl_s: float,
         on_takeover: Callable[[Shard | None, ObservedClaim], None],
@@ -89,7 +89,7 @@
         acted on."""
         self._on_takeover = on_takeover
         self._model = model
-        self._member = member
+        self._membership = membership
         self._clock = model.clock
         self._limit_s = options.gate_s
         self._max_step_s = ttl_s * MAX_PAUSE_FRACTION
@@ -129,7 +129,7 @@
         return self._model.is_supported
 
     def _receives_heartbeats(self, _shard: Shard | None, _claim: ObservedClaim) -> bool:
-        return not self._member.receives_no_heartbeats
+        return not self._membership.receives_no_heartbeats
 
     def _is_lease_confirmed(self, _shard: Shard | None, _claim: ObservedClaim) -> bool:
         return self.lease_confirmed_since_pause()
@@ -141,7 +141,9 @@
         """Whether the lease is current and was confirmed by a renewal sent after the latest pause
         of this process."""
         self._detect_pause()
-        return self._member.lease_is_current and self._member.confirmed_at >= self._paused_at
+        return (
+            self._membership.lease_is_current and self._membership.confirmed_at >= self._paused_at
+        )
 
     def _detect_pause(self) -> None:
         now = self._clock.now()
@@ -163,10 +165,10 @@
             del self._runs[key]
             return True
         if failed.on_failure is Outcome.RECLAIM:
-            self._member.reclaim(shard, claim)
+            self._membership.reclaim(shard, claim)
         if self._should_hand_over(run, failed):
             self._block(key, failed)
-            self._member.resign(shard)
+            self._membership.resign(shard)
         return False
 
     def may_act_as_leader(self, claim: ObservedClaim) -> bool:
@@ -183,14 +185,14 @@
         """Hand the leadership over if it cannot be acted on; called a few times a second."""
         self._detect_pause()
         claim = self._model.leader_claim
-        if claim is None or claim.record.node != self._member.node:
+        if claim is None or claim.record.node != self._membership.node:
             self._runs.pop(LEADER_KEY, None)
             return
         run = self._run_for(LEADER_KEY, claim)
         failed = self._run_checks(LEADER_KEY, run, None, claim)
         if failed is not None and self._should_hand_over(run, failed):
             self._block(LEADER_KEY, failed)
-            self._member.resign_leadership()
+            self._membership.resign_leadership()
 
     # ---- checking a claim ----
 
@@ -247,7 +249,7 @@
         )
 
     def _should_hand_over(self, run: CheckRun, failed: Check) -> bool:
-        if not self._member.takeover_candidates():
+        if not self._membership.takeover_candidates():
             # No peer is available: the claim stays here until it passes.
             return False
         is_overdue = self._clock.now() - run.since > self._limit_s
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -47,7 +47,7 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         state: StateClient,
         options: StandbyOptions,
         tunables: Tunables,
@@ -58,15 +58,17 @@
         """`process`: a unique name of this process; `blocked`: the fleet's offers without
         capacity."""
         self._model = model
-        self._member = member
+        self._membership = membership
         self._clock = model.clock
         self._step_s = options.probe_s / 2
-        self.gate = TakeoverGate(model, member, options, tunables.claim_ttl_s, self._on_takeover)
+        self.gate = TakeoverGate(
+            model, membership, options, tunables.claim_ttl_s, self._on_takeover
+        )
         self.soft_state = SoftStateReceiver(model, options, tunables.window_s, blocked)
         self.soft_state_sender = SoftStateSender(model, options, process, blocked)
         self.failure_detector = FailureDetector(
             model,
-            member,
+            membership,
             state,
             options,
             ask,
@@ -161,7 +163,7 @@
 
     async def _hold_request(self, follow: wire.FollowRequest) -> Reply:
         # A controller that is being drained may end only while it holds no request open.
-        is_held_open = not self._member.is_unavailable(UnavailableReason.DRAINING)
+        is_held_open = not self._membership.is_unavailable(UnavailableReason.DRAINING)
         if is_held_open:
             await asyncio.sleep(HOLD_S)
         return Reply(200, wire.encode(self.build_update(follow, is_held_open)))
@@ -171,6 +173,6 @@
         its request was held open before."""
         with self._model.lock:
             claim = self._model.leader_claim
-            is_leader = claim is not None and claim.record.node == self._member.node
+            is_leader = claim is not None and claim.record.node == self._membership.node
             term = claim.version if claim is not None and is_leader else 0
             return self.soft_state_sender.build_update(follow, is_held_open, term)
--- a/badgerseam/workers/direct_commands.py
+++ b/badgerseam/workers/direct_commands.py
@@ -45,14 +45,14 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         http: HttpClient,
         command_queue: CommandQueue,
         heartbeats: HeartbeatProcessor,
         on_change: Callable[[], None],
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._http = http
         self._clock = model.clock
         self._command_queue = command_queue
@@ -68,7 +68,7 @@
         """
         if machine.command_in_flight or self._clock.now() < machine.next_push_at:
             return
-        if not self._member.may_answer_heartbeats_for(self._model.shards[machine.shard]):
+        if not self._membership.may_answer_heartbeats_for(self._model.shards[machine.shard]):
             return
         if machine.incarnation == 0:
             if machine.address:
--- a/badgerseam/workers/heartbeat_reception.py
+++ b/badgerseam/workers/heartbeat_reception.py
@@ -46,9 +46,9 @@
 class HeartbeatReception:
     """Hands shards over if no heartbeats arrive, and allows claims again once workers answer."""
 
-    def __init__(self, model: Model, member: Membership, http: HttpClient) -> None:
+    def __init__(self, model: Model, membership: Membership, http: HttpClient) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._http = http
         self._clock = model.clock
         self._max_heartbeat_gap_s = MAX_GAP_INTERVALS * model.settings.params.workers.report_s
@@ -81,11 +81,11 @@
         if terms != self._terms:
             self._terms = terms
             self._heartbeat_gap_s = -TAKEOVER_GRACE_S
-        if self._member.receives_no_heartbeats:
+        if self._membership.receives_no_heartbeats:
             if now - self._probed_at >= PROBE_INTERVAL_S:
                 self._probed_at = now
                 self._tasks.spawn(self._probe_machines())
-        elif terms and self._may_hand_over() and self._member.withdraw_if_replaceable():
+        elif terms and self._may_hand_over() and self._membership.withdraw_if_replaceable():
             log.info(
                 "shards handed over reason=no_heartbeats silence_s=%.1f", self._heartbeat_gap_s
             )
@@ -99,7 +99,7 @@
         """
         return (
             self._heartbeat_gap_s > self._max_heartbeat_gap_s
-            and self._member.lease_is_current
+            and self._membership.lease_is_current
             and self._expects_heartbeats()
         )
 
@@ -127,11 +127,14 @@
             return
         if self._answered_since is None:
             self._answered_since = now
-        if now - self._answered_since >= self._backoff_s and self._member.receives_no_heartbeats:
+        if (
+            now - self._answered_since >= self._backoff_s
+            and self._membership.receives_no_heartbeats
+        ):
             log.info("workers reachable again backoff_s=%.1f", self._backoff_s)
             self._backoff_s = min(2 * self._backoff_s, MAX_BACKOFF_S)
             self._heartbeat_gap_s = 0.0
-            self._member.mark_available(UnavailableReason.NO_HEARTBEATS)
+            self._membership.mark_available(UnavailableReason.NO_HEARTBEATS)
 
     def _next_addresses(self) -> list[str]:
         """Returns the addresses to probe.
--- a/badgerseam/workers/lease_expiry.py
+++ b/badgerseam/workers/lease_expiry.py
@@ -60,7 +60,7 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         http: HttpClient,
         tunables: Tunables,
         on_change: Callable[[], None],
@@ -68,7 +68,7 @@
         heartbeats: HeartbeatProcessor,
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._http = http
         self._clock = model.clock
         self._on_change = on_change
@@ -92,7 +92,8 @@
         self._heartbeat_proxy.observe_peers()
         renewed_by_zone: dict[str, float] = {}
         may_expire = [
-            shard.owned and self._member.may_answer_heartbeats_for(shard) for shard in model.shards
+            shard.owned and self._membership.may_answer_heartbeats_for(shard)
+            for shard in model.shards
         ]
         for machine in model.machines.values():
             if machine.lost or not may_expire[machine.shard]:
@@ -245,7 +246,7 @@
     def _is_lease_recent(self) -> bool:
         """Whether the state service has confirmed this controller's lease so recently that missing
         heartbeats are not this controller's own fault."""
-        return self._member.lease_confirmed_within(self._confirmation_s)
+        return self._membership.lease_confirmed_within(self._confirmation_s)
 
 
 def _overdue_timer_start(machine: Machine) -> float:
--- a/badgerseam/workers/unregistered.py
+++ b/badgerseam/workers/unregistered.py
@@ -13,9 +13,9 @@
 class UnregisteredWorkers:
     """Inspects unregistered workers while this controller is the leader."""
 
-    def __init__(self, model: Model, member: Membership, http: HttpClient) -> None:
+    def __init__(self, model: Model, membership: Membership, http: HttpClient) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._http = http
         self._tasks = BackgroundTasks()
         self._inspecting: set[str] = set()
@@ -32,7 +32,7 @@
         if (
             name not in self._model.removed_machines
             and name not in self._inspecting
-            and self._member.is_leader
+            and self._membership.is_leader
         ):
             self._inspecting.add(name)
             self._tasks.spawn(self._inspect(name, heartbeat.address))
@@ -41,5 +41,5 @@
         heartbeat = await inspect(self._http, address, INSPECT_DEADLINE_S)
         with self._model.lock:
             self._inspecting.discard(name)
-            if heartbeat is not None and heartbeat.machine == name and self._member.is_leader:
+            if heartbeat is not None and heartbeat.machine == name and self._membership.is_leader:
                 self._model.unregistered[name] = heartbeat
--- a/badgerseam/workers/worker_manager.py
+++ b/badgerseam/workers/worker_manager.py
@@ -37,7 +37,7 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         http: HttpClient,
         tunables: Tunables,
         on_change: Callable[[], None],
@@ -45,7 +45,7 @@
         heartbeat_proxy: HeartbeatProxy,
     ) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._tunables = tunables
         self._on_change = on_change
         self._peer_with_state_service = peer_with_state_service
@@ -56,13 +56,13 @@
         heartbeats = HeartbeatProcessor(model, tunables)
         self.command_queue = CommandQueue(model)
         self.direct_commands = DirectCommandSender(
-            model, member, http, self.command_queue, heartbeats, on_change
+            model, membership, http, self.command_queue, heartbeats, on_change
         )
-        self.heartbeat_reception = HeartbeatReception(model, member, http)
+        self.heartbeat_reception = HeartbeatReception(model, membership, http)
         self.lease_expiry = LeaseExpiry(
-            model, member, http, tunables, on_change, heartbeat_proxy, heartbeats
+            model, membership, http, tunables, on_change, heartbeat_proxy, heartbeats
         )
-        self.unregistered_workers = UnregisteredWorkers(model, member, http)
+        self.unregistered_workers = UnregisteredWorkers(model, membership, http)
         self._responder = HeartbeatResponder(model, heartbeats, self.command_queue, heartbeat_proxy)
 
     def expire_leases(self) -> list[Machine]:
@@ -130,7 +130,7 @@
 
     def _refuse_without_lease(self, shard: Shard) -> Reply | None:
         """Refuses if this controller may not renew leases of the shard's workers now."""
-        if self._member.may_answer_heartbeats_for(shard):
+        if self._membership.may_answer_heartbeats_for(shard):
             return None
         return error_reply(503, "not entitled", RETRY_AFTER_S)
 
@@ -138,7 +138,7 @@
         """Redirects to a peer that reaches the state service if this controller's claims may have
         expired."""
         peer = self._peer_with_state_service()
-        if peer is None or self._member.lease_confirmed_within(self._tunables.claim_ttl_s):
+        if peer is None or self._membership.lease_confirmed_within(self._tunables.claim_ttl_s):
             return None
         return self._redirect(peer)
 
@@ -166,6 +166,6 @@
 
     def _redirect(self, node: str | None) -> Reply:
         """Redirects a worker to a controller, or to none if that would be this one."""
-        if node == self._member.node:
+        if node == self._membership.node:
             node = None
         return Reply(421, wire.encode(wire.Redirect(node)))
