--- a/badgerseam/classes/class_record.py
+++ b/badgerseam/classes/class_record.py
@@ -201,13 +201,13 @@
         self, record: wire.StoredClasses, versions: dict[str, int], urgency: Urgency
     ) -> None:
         value = wire.raw(record)
-        still_wanted = (lambda: self._membership.is_leader) if LEADER_KEY in versions else None
+        should_send = (lambda: self._membership.is_leader) if LEADER_KEY in versions else None
         revision = await self._committer.commit(
             urgency,
             versions,
             [wire.Write(put=CLASSES_KEY, value=value)],
             DEADLINE_S,
-            wanted=still_wanted,
+            should_send=should_send,
         )
         names = ",".join(entry.name for entry in record.classes) or "none"
         log.info('class record written by="%s" revision=%d classes=%s', record.by, revision, names)
--- a/badgerseam/cluster/claims.py
+++ b/badgerseam/cluster/claims.py
@@ -101,7 +101,7 @@
                 {key: version},
                 [write],
                 WRITE_DEADLINE_S,
-                wanted=lambda: self._lease.number == lease,
+                should_send=lambda: self._lease.number == lease,
             )
             return True
         except LeaseExpiredError:
--- a/badgerseam/cluster/heartbeat_proxy.py
+++ b/badgerseam/cluster/heartbeat_proxy.py
@@ -170,7 +170,7 @@
         model, membership = self._model, self._membership
         if not model.loaded or self._is_writing or not membership.lease_is_current:
             return
-        wanted = frozenset(
+        desired_owners = frozenset(
             name
             for name in self._peer_zones
             if name in model.controllers and self._is_unreachable(name)
@@ -181,7 +181,7 @@
             named = frozenset(known.record.owners)
         # From now on this controller is no longer a proxy for the owners that the record is to
         # drop, whether or not the write succeeds.
-        self._announced = wanted & named
+        self._announced = desired_owners & named
         self._announced_lease = membership.lease
         version = 0 if known is None else known.version
         unconfirmed = self._unconfirmed_write_for(membership.lease, version)
@@ -189,9 +189,9 @@
             # If that write is executed late, the record names other owners: those that it drops
             # stop assuming renewals before this replica shows it.
             self._announced &= unconfirmed.owners
-        if (wanted != named or unconfirmed is not None) and membership.lease is not None:
+        if (desired_owners != named or unconfirmed is not None) and membership.lease is not None:
             self._is_writing = True
-            self._tasks.spawn(self._write_record(wanted, membership.lease, version))
+            self._tasks.spawn(self._write_record(desired_owners, membership.lease, version))
 
     def _unconfirmed_write_for(self, lease: int | None, version: int) -> UnconfirmedWrite | None:
         """Returns the write without a response for this lease and version, or None."""
@@ -212,7 +212,7 @@
                 {key: version},
                 [write],
                 DEADLINE_S,
-                wanted=lambda: self._membership.lease == lease,
+                should_send=lambda: self._membership.lease == lease,
             )
             with self._model.lock:
                 self._model.apply(key, write.value, revision)
--- a/badgerseam/fleet/scale_out.py
+++ b/badgerseam/fleet/scale_out.py
@@ -112,7 +112,7 @@
                 # The write is abandoned only once the claim is lost, and then it cannot succeed.
                 # Abandoned earlier, for example after an outage of the state service, the demand
                 # was requested again under a second name, and both rentals were executed.
-                wanted=lambda: self._is_still_leader(version),
+                should_send=lambda: self._is_still_leader(version),
             )
             with model.lock:
                 model.apply(key, value, revision)
--- a/badgerseam/rollout/level_upgrade.py
+++ b/badgerseam/rollout/level_upgrade.py
@@ -169,7 +169,11 @@
             write = self._level_write(level)
         try:
             revision = await self._committer.commit(
-                Urgency.CLAIM, conditions, [write], DEADLINE_S, wanted=lambda: membership.is_leader
+                Urgency.CLAIM,
+                conditions,
+                [write],
+                DEADLINE_S,
+                should_send=lambda: membership.is_leader,
             )
             log.info("level changed level=%d name=%r", level, model.program.name(level))
             with model.lock:
--- a/badgerseam/rollout/migration.py
+++ b/badgerseam/rollout/migration.py
@@ -208,7 +208,7 @@
             writes = [write for rewrite in batch for write in rewrite.writes]
             try:
                 await self._committer.commit(
-                    Urgency.MIGRATE, conditions, writes, DEADLINE_S, wanted=self._is_leader
+                    Urgency.MIGRATE, conditions, writes, DEADLINE_S, should_send=self._is_leader
                 )
             except ConditionFailedError as error:
                 if LEVEL_KEY in error.failed:
@@ -242,7 +242,7 @@
                 {LEVEL_KEY: site.version, LEADER_KEY: leader.version},
                 [write],
                 DEADLINE_S,
-                wanted=self._is_leader,
+                should_send=self._is_leader,
             )
         except ConditionFailedError as error:
             log.debug("migration not marked complete level=%d failed=%s", level, error)
--- a/badgerseam/runs/run_lifecycle.py
+++ b/badgerseam/runs/run_lifecycle.py
@@ -85,11 +85,11 @@
         plan: PlanJobs,
         number: int,
         record: wire.StoredRun,
-        wanted: Callable[[], bool] | None = None,
+        should_send: Callable[[], bool] | None = None,
     ) -> bool:
         """Writes a phase of a run; returns whether the write is known to have succeeded.
 
-        `wanted`: the write is dropped once this returns false.
+        `should_send`: the write is dropped once this returns false.
         """
         name = plan.plan.name
         key = run_key(name, number)
@@ -100,7 +100,7 @@
         write = wire.Write(put=key, value=wire.raw(record))
         try:
             await self._committer.commit(
-                Urgency.DONE, conditions, [write], DEADLINE_S, wanted, MAX_WRITE_DELAY_S
+                Urgency.DONE, conditions, [write], DEADLINE_S, should_send, MAX_WRITE_DELAY_S
             )
         except WRITE_ERRORS as error:
             log.info(
--- a/badgerseam/store/committer.py
+++ b/badgerseam/store/committer.py
@@ -105,13 +105,14 @@
         conditions: dict[str, int],
         writes: list[Write],
         deadline_s: float | None = None,
-        wanted: Callable[[], bool] | None = None,
+        should_send: Callable[[], bool] | None = None,
         promote_after_s: float | None = None,
         priority_class: int = 0,
     ) -> int:
         """Commits the writes if all conditions hold, and returns the revision of the commit.
 
-        `wanted`: called before each attempt to send; the proposal is dropped if it returns False.
+        `should_send`: called before each attempt to send; the proposal is dropped if it returns
+        False.
         `promote_after_s`: how long the proposal may wait before it is promoted to the urgency of a
         placement; None: it is never promoted.
         `priority_class`: among proposals of the same urgency, lower classes are sent first. After
@@ -130,7 +131,7 @@
             asyncio.get_running_loop().create_future(),
             proposed_at=now,
             deadline=None if deadline_s is None else now + deadline_s,
-            wanted=wanted,
+            should_send=should_send,
         )
         self._schedule_promotions(proposal, promote_after_s, deadline_s, priority_class)
         self._queue.push(proposal, self._clock.now())
--- a/badgerseam/store/ledger.py
+++ b/badgerseam/store/ledger.py
@@ -103,7 +103,7 @@
                 Urgency.DONE if job.rank else Urgency.UPKEEP,
                 {claim_key(shard.index): term, key: job.version},
                 [wire.Write(put=key, value=value)],
-                wanted=lambda: shard.owned and shard.term == term and job.phase == Phase.OPEN,
+                should_send=lambda: shard.owned and shard.term == term and job.phase == Phase.OPEN,
                 promote_after_s=END_PROMOTION_S if job.rank else LOW_PRIORITY_END_PROMOTION_S,
             )
         except ProposalDroppedError:
@@ -187,7 +187,7 @@
                 {claim_key(shard.index): shard.term, key: shard.counts_version},
                 [wire.Write(put=key, value=value)],
                 COUNTS_DEADLINE_S,
-                wanted=lambda: shard.owned,
+                should_send=lambda: shard.owned,
             )
             with self._model.lock:
                 self._model.apply(key, value, revision)
--- a/badgerseam/store/machine_records.py
+++ b/badgerseam/store/machine_records.py
@@ -52,7 +52,7 @@
     edit: RowEdit
     claim_key: str
     claim_version: int
-    wanted: Callable[[], bool]
+    should_send: Callable[[], bool]
     future: asyncio.Future[None] = field(default_factory=asyncio.Future)
 
 
@@ -85,7 +85,7 @@
         rows: list[wire.StoredMachine],
         conditions: dict[str, int],
         more_writes: list[wire.Write],
-        wanted: Callable[[], bool],
+        should_send: Callable[[], bool],
     ) -> None:
         """Writes a new group of at most `max_rows` machines and other writes in one transaction.
 
@@ -99,7 +99,7 @@
             writes.insert(0, wire.Write(put=key, value=wire.raw(rows)))
         try:
             revision = await self._committer.commit(
-                Urgency.PLACE, conditions, writes, wanted=wanted
+                Urgency.PLACE, conditions, writes, should_send=should_send
             )
         except ConditionFailedError as error:
             if key in error.failed:
@@ -107,7 +107,7 @@
                 # at once: if the machines stayed unknown until the state watcher receives them,
                 # they would be recorded in a second group, and controllers would differ in which
                 # of the two records they use.
-                await self._read_until_answered(key, wanted)
+                await self._read_until_answered(key, should_send)
             raise
         with self._model.lock:
             for write in writes:
@@ -118,13 +118,13 @@
         machines: Iterable[Machine],
         edit: RowEdit,
         claim: tuple[str, int],
-        wanted: Callable[[], bool],
+        should_send: Callable[[], bool],
         max_defer_s: float = 0.0,
     ) -> set[str]:
         """Edits the rows of machines; returns the names of those whose edit is durable.
 
         `claim`: the key and version of the claim under which the edit may be made.
-        `wanted`: called before each attempt to send; the edit is dropped if it returns False.
+        `should_send`: called before each attempt to send; the edit is dropped if it returns False.
         `max_defer_s`: how long the edit may wait for another write of the group or for spare write
         budget, whichever comes first.
         """
@@ -133,7 +133,7 @@
             names_by_group.setdefault(machine.group, set()).add(machine.name)
         changes: list[_Change] = []
         for group, names in names_by_group.items():
-            change = _Change(frozenset(names), edit, *claim, wanted)
+            change = _Change(frozenset(names), edit, *claim, should_send)
             changes.append(change)
             if max_defer_s > 0 and group not in self._pending:
                 self._defer(group, change, max_defer_s)
@@ -219,7 +219,7 @@
             Urgency.PLACE,
             conditions,
             [write],
-            wanted=lambda: any(change.wanted() for change in changes),
+            should_send=lambda: any(change.should_send() for change in changes),
         )
         with self._model.lock:
             self._model.apply(key, value, revision)
@@ -232,7 +232,7 @@
         for change in changes:
             if change.claim_key in error.failed:
                 change.future.set_exception(error)
-            elif not change.wanted():
+            elif not change.should_send():
                 change.future.set_exception(ProposalDroppedError([key]))
             else:
                 remaining.append(change)
@@ -240,10 +240,11 @@
             await self._read(key)
         return remaining
 
-    async def _read_until_answered(self, key: str, wanted: Callable[[], bool]) -> None:
-        """Reads a group, retrying while it is wanted, and applies it to the model if it exists."""
+    async def _read_until_answered(self, key: str, should_send: Callable[[], bool]) -> None:
+        """Reads a group, retrying while `should_send` returns True, and applies it to the model if
+        it exists."""
         failures = 0
-        while wanted():
+        while should_send():
             try:
                 entry = await self._state.get(key)
             except StateUnavailableError:
--- a/badgerseam/store/proposal.py
+++ b/badgerseam/store/proposal.py
@@ -58,7 +58,7 @@
     proposed_at: float
     deadline: float | None = None
     """Time after which the proposal fails instead of being sent."""
-    wanted: Callable[[], bool] | None = None
+    should_send: Callable[[], bool] | None = None
     """Called before each attempt to send; the proposal is dropped if it returns False."""
     priority_class: int = 0
     """Order among proposals of the same urgency; lower values go first."""
--- a/badgerseam/store/proposal_queue.py
+++ b/badgerseam/store/proposal_queue.py
@@ -72,7 +72,7 @@
             proposal = entry.proposal
             if entry.is_stale:
                 continue
-            if proposal.wanted is not None and not proposal.wanted():
+            if proposal.should_send is not None and not proposal.should_send():
                 proposal.fail(ProposalDroppedError(proposal.keys))
                 continue
             if proposal.deadline is not None and now >= proposal.deadline:
--- a/badgerseam/store/task_log_writer.py
+++ b/badgerseam/store/task_log_writer.py
@@ -123,7 +123,7 @@
                 transaction.conditions,
                 writes,
                 deadline_s,
-                wanted=lambda: _is_owned(shard, term),
+                should_send=lambda: _is_owned(shard, term),
             )
         except ProposalDroppedError:
             pass
