--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -300,7 +300,7 @@
         """Returns whether a machine of a shard is usable or will be soon."""
         if machine.name in self._moves.in_progress:
             return False
-        if self._planner.usable(machine, now):
+        if self._planner.is_usable(machine, now):
             return True
         if machine.dropped or machine.lost or machine.draining:
             return False
--- a/badgerseam/replicas/reviewer.py
+++ b/badgerseam/replicas/reviewer.py
@@ -205,7 +205,7 @@
                 machine is not None
                 and machine.shard == job.shard
                 and machine.index not in job.machines_to_avoid(now)
-                and self._planner.usable(machine, now)
+                and self._planner.is_usable(machine, now)
             ):
                 machines.append(machine.index)
         return machines
--- a/badgerseam/sched/planner.py
+++ b/badgerseam/sched/planner.py
@@ -93,10 +93,10 @@
         return [
             self.node(machine, now)
             for machine in self._model.shard_machines[shard.index].values()
-            if self.usable(machine, now)
+            if self.is_usable(machine, now)
         ]
 
-    def usable(self, machine: Machine, now: float) -> bool:
+    def is_usable(self, machine: Machine, now: float) -> bool:
         """Whether tasks may be placed on the machine now."""
         return self.unusable_reason(machine, now) is None
 
