--- a/badgerseam/classes/rules.py
+++ b/badgerseam/classes/rules.py
@@ -56,8 +56,9 @@
     requests: list[pts.Request]
 
 
-class _LeaderCaution(NamedTuple):
-    """The class below which a new leader delays transfers; see `ClassRules.cautious_below`."""
+class _TransferPause(NamedTuple):
+    """The class below which a new leader pauses transfers; see
+    `ClassRules.transfers_paused_below`."""
 
     claim_version: int
     since: float
@@ -86,7 +87,7 @@
         """The number of priority inversions in the plans of this controller."""
         self.plans_with_reservations = 0
         """The number of plans in which work of a lower class avoided a reserved machine."""
-        self._caution = _LeaderCaution(0, -math.inf, None)
+        self._transfer_pause = _TransferPause(0, -math.inf, None)
         model.class_of = self.effective_class
         planner.classes = self
 
@@ -296,7 +297,7 @@
         for job_id in [job_id for job_id in self._reserved_since if job_id in self._model.ended]:
             del self._reserved_since[job_id]
 
-    def cautious_below(self) -> int | None:
+    def transfers_paused_below(self) -> int | None:
         """Returns the class below which a new leader transfers no machines for `max_hold_s` after
         its first round: the highest class of which arrivals are expected, or None if there is
         none."""
@@ -304,15 +305,19 @@
         if table is None or leader is None or len(table.names) < 2:
             return None
         now = self._clock.now()
-        if self._caution.claim_version != leader.version:
+        if self._transfer_pause.claim_version != leader.version:
             expected = [
                 kind.priority_class
                 for shard in self._model.shards
                 for kind, rate in self._arrival_rates(shard, table, now).items()
                 if rate * table.max_hold_s >= MIN_EXPECTED_TASKS
             ]
-            self._caution = _LeaderCaution(leader.version, now, min(expected, default=None))
-        return self._caution.below if now < self._caution.since + table.max_hold_s else None
+            self._transfer_pause = _TransferPause(leader.version, now, min(expected, default=None))
+        return (
+            self._transfer_pause.below
+            if now < self._transfer_pause.since + table.max_hold_s
+            else None
+        )
 
     def on_plan(self, shard: Shard, snapshot: pts.Snapshot, result: pts.Plan) -> None:
         """Counts the priority inversions of a plan that is about to be carried out."""
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -198,7 +198,7 @@
             MAX_MACHINES_PER_ROUND,
             boot_s,
             self._request_of,
-            None if planner.classes is None else planner.classes.cautious_below(),
+            None if planner.classes is None else planner.classes.transfers_paused_below(),
         )
         self._start_moves(decisions, now)
         self._start_consolidation(decisions, now)
--- a/badgerseam/fleet/policy.py
+++ b/badgerseam/fleet/policy.py
@@ -40,7 +40,7 @@
     max_machines: int,
     boot_s: float = 0.0,
     request_of: RequestOf | None = None,
-    cautious_below: int | None = None,
+    transfers_paused_below: int | None = None,
 ) -> FleetDecisions:
     """Returns the decisions: moves, then rentals for waiting work, then the reserves, then surplus.
 
@@ -48,11 +48,11 @@
     `options`: the options for rentals; `max_machines`: the maximum number of moves in total, and of
     rentals per shard and purpose; `boot_s`: the boot duration, since capacity that becomes free
     within it makes a new machine unnecessary; `request_of`: if None, no machine is consolidated;
-    `cautious_below`: no machine is moved for priority classes lower than this one, except for
-    demand within a team's guarantee.
+    `transfers_paused_below`: no machine is moved for priority classes lower than this one, except
+    for demand within a team's guarantee.
     """
     decision = _Decision(snapshots, empty, max_machines)
-    decision.move_spare_machines(cautious_below)
+    decision.move_spare_machines(transfers_paused_below)
     decision.rent_for_waiting_work(options, boot_s)
     for position, reserve in enumerate(reserves):
         decision.reserve_capacity(position, reserve, options)
@@ -77,9 +77,9 @@
         self._unplaced: dict[int, UnplacedDemand] = {}
         """Unplaced demand by shard, in the order in which shards get machines."""
 
-    def move_spare_machines(self, cautious_below: int | None) -> None:
+    def move_spare_machines(self, transfers_paused_below: int | None) -> None:
         """Moves empty machines to the shards in which work waits."""
-        priorities = _waiting_priorities(self._snapshots, self._plans, cautious_below)
+        priorities = _waiting_priorities(self._snapshots, self._plans, transfers_paused_below)
         order = sorted(
             range(len(self._snapshots)),
             key=lambda shard: _shard_order(self._snapshots[shard], self._plans[shard], priorities),
@@ -192,7 +192,7 @@
 
 
 def _waiting_priorities(
-    snapshots: list[pts.Snapshot], plans: list[pts.Plan], cautious_below: int | None
+    snapshots: list[pts.Snapshot], plans: list[pts.Plan], transfers_paused_below: int | None
 ) -> list[PriorityKey] | None:
     """Returns the priorities of the waiting work, highest first; None without priority classes."""
     if not any(request.priority_class for snapshot in snapshots for request in snapshot.requests):
@@ -204,8 +204,11 @@
                 continue
             team = plan.teams[request.team]
             claims_guarantee = team.used.plus(request.demand).fits_in(team.guarantee)
-            is_cautious = cautious_below is not None and request.priority_class > cautious_below
-            if claims_guarantee or not is_cautious:
+            is_paused = (
+                transfers_paused_below is not None
+                and request.priority_class > transfers_paused_below
+            )
+            if claims_guarantee or not is_paused:
                 priorities.add(priority_key(request))
     return sorted(priorities)
 
--- a/badgerseam/sched/policies.py
+++ b/badgerseam/sched/policies.py
@@ -23,7 +23,7 @@
     def on_plan(self, shard: Shard, snapshot: Snapshot, result: Plan) -> None:
         """Inspects a plan before it is applied."""
 
-    def cautious_below(self) -> int | None:
+    def transfers_paused_below(self) -> int | None:
         """Returns the class below which the leader moves no machines now; None if there is no
         bound."""
 
