--- a/badgerseam/api/rollout.py
+++ b/badgerseam/api/rollout.py
@@ -105,7 +105,7 @@
                 [] if next_level is None else level_upgrade.obstacles(next_level),
                 [shard.index for shard in model.shards if shard.claim is None],
                 None if leader is None else leader.record.node,
-                [self._controller_view(name, owners) for name in membership.order],
+                [self._controller_view(name, owners) for name in membership.controller_names],
                 self._own_view(),
             )
         return Reply(200, wire.encode(view))
--- a/badgerseam/classes/class_record.py
+++ b/badgerseam/classes/class_record.py
@@ -111,7 +111,7 @@
 
     def objections(self) -> list[Objection]:
         """Returns the controllers whose options differ from those of this one, with reasons."""
-        return objections(self.digest, self._membership.order, self._model.controllers)
+        return objections(self.digest, self._membership.controller_names, self._model.controllers)
 
     def review(self) -> None:
         """Writes the record if an update is due and no controller's options differ.
@@ -129,7 +129,7 @@
         found = tuple(
             objections(
                 self.digest,
-                self._membership.order,
+                self._membership.controller_names,
                 self._model.controllers,
                 include_absent=is_due,
             )
@@ -155,7 +155,9 @@
                 if leader is None or self.objections():
                     # The leader has changed, or an objection has appeared, since the review.
                     return
-                versions = conditions(membership.order, model.controllers, model.classes, leader)
+                versions = conditions(
+                    membership.controller_names, model.controllers, model.classes, leader
+                )
                 changed_at = round(self._clock.wall(), 3)
                 record = to_record(self._options, membership.node, changed_at, self.digest)
             await self._commit(record, versions, Urgency.CLAIM)
@@ -185,13 +187,16 @@
             found = [
                 entry
                 for entry in objections(
-                    self.digest, membership.order, model.controllers, include_absent=False
+                    self.digest,
+                    membership.controller_names,
+                    model.controllers,
+                    include_absent=False,
                 )
                 if not model.controllers[entry.node].record.classes_digest
             ]
             if found:
                 return found
-            versions = conditions(membership.order, model.controllers, model.classes)
+            versions = conditions(membership.controller_names, model.controllers, model.classes)
             changed_at = round(self._clock.wall(), 3)
             record = to_record(options, f"operator at {membership.node}", changed_at, self.digest)
         await self._commit(record, versions, Urgency.USER)
--- a/badgerseam/cluster/membership.py
+++ b/badgerseam/cluster/membership.py
@@ -56,12 +56,16 @@
         self._on_change = on_change
         self.claim_ttl_s = tunables.claim_ttl_s
         self.node = settings.node
-        self.order = sorted([settings.node, *(sibling.node for sibling in settings.siblings)])
+        self.controller_names = sorted(
+            [settings.node, *(sibling.node for sibling in settings.siblings)]
+        )
         self.controller_lease = ControllerLease(model, state, tunables.claim_ttl_s)
         self.registration = Registration(
             model, state, committer, self.controller_lease, self._lose_lease
         )
-        self.claim_policy = ClaimPolicy(model, self.order, self.controller_lease, self.registration)
+        self.claim_policy = ClaimPolicy(
+            model, self.controller_names, self.controller_lease, self.registration
+        )
         self._claims = ClaimWriter(
             model,
             state,
@@ -129,7 +133,7 @@
 
     def takeover_candidates(self) -> list[str]:
         """Returns the available peers, the one that owns the fewest shards first."""
-        return candidates_besides(self._model, self.order, self.node)
+        return candidates_besides(self._model, self.controller_names, self.node)
 
     # ---- the lease ----
 
--- a/badgerseam/rollout/level_upgrade.py
+++ b/badgerseam/rollout/level_upgrade.py
@@ -90,7 +90,7 @@
             reason = f"level {model.level.level} cannot be undone: see docs/rollout.md"
             found.append(Obstacle("", reason))
         now = self._clock.now()
-        for name in self._membership.order:
+        for name in self._membership.controller_names:
             problem = self._controller_obstacle(name, level, now)
             if problem is not None:
                 found.append(Obstacle(name, problem))
@@ -161,7 +161,7 @@
         """Changes the site's level in one transaction."""
         model, membership = self._model, self._membership
         with model.lock:
-            if any(name not in model.controllers for name in membership.order):
+            if any(name not in model.controllers for name in membership.controller_names):
                 # A controller ended after the review had found no obstacle.
                 self._is_changing = False
                 return
@@ -200,7 +200,7 @@
         }
         if model.leader_claim is not None:
             conditions[LEADER_KEY] = model.leader_claim.version
-        for name in self._membership.order:
+        for name in self._membership.controller_names:
             conditions[node_key(name)] = model.controllers[name].version
         return conditions
 
--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -94,7 +94,9 @@
         self._lease_confirmed_since_pause = lease_confirmed_since_pause
         self._on_update = on_update
         self._clock = model.clock
-        self.peers = {name: PeerState() for name in membership.order if name != membership.node}
+        self.peers = {
+            name: PeerState() for name in membership.controller_names if name != membership.node
+        }
         self._stepped_at = self._clock.now()
         self._answered_versions: dict[str, int] = {}
         """For each peer, the version of its record whose liveness request was answered."""
@@ -261,7 +263,7 @@
 
     def _is_own_turn(self, name: str, suspicion: Suspicion, now: float) -> bool:
         """Whether the successors ranked before this controller have had their time to act."""
-        ranked = successors(self._model, self._membership.order, name)
+        ranked = successors(self._model, self._membership.controller_names, name)
         if self._membership.node not in ranked:
             return False
         turn_s = self._options.answer_s + SUCCESSOR_STAGGER_S
