--- a/badgerseam/cluster/peers.py
+++ b/badgerseam/cluster/peers.py
@@ -103,7 +103,7 @@
 
     # ---- takeovers ----
 
-    def accept_takeovers_with(self, take_over: Callable[[str, int], Awaitable[bool]]) -> None:
+    def set_takeover_handler(self, take_over: Callable[[str, int], Awaitable[bool]]) -> None:
         """Set the handler for claims that peers hand over: `take_over` gets the key and the
         version, and returns whether the new claim is known to be durable."""
         self._take_over = take_over
@@ -140,7 +140,7 @@
 
     # ---- why a job waits ----
 
-    def answer_questions_with(
+    def set_explain_handlers(
         self, local: LocalAnswers, view: Callable[[], CloudView | None]
     ) -> None:
         """Set the handlers for peers' requests to explain waiting jobs and to return the view of
--- a/badgerseam/controller.py
+++ b/badgerseam/controller.py
@@ -254,7 +254,7 @@
     def _create_peers(self) -> Peers:
         """Creates the peer protocol and connects it to the membership for takeovers of claims."""
         peers = Peers(self.model, self._http, self.machine_transfer, self.state, self.write_rate)
-        peers.accept_takeovers_with(self.membership.take_over_claim)
+        peers.set_takeover_handler(self.membership.take_over_claim)
         self.membership.request_takeover = peers.request_takeover
         return peers
 
@@ -335,7 +335,7 @@
             self.peers.ask_owner,
             self.peers.ask_leader,
         )
-        self.peers.answer_questions_with(explainer.answer_peer, self._cloud_view)
+        self.peers.set_explain_handlers(explainer.answer_peer, self._cloud_view)
         return explainer
 
     def _create_explain_api(self) -> ExplainApi | None:
