--- a/badgerseam/model/job.py
+++ b/badgerseam/model/job.py
@@ -71,7 +71,7 @@
     attempts: dict[tuple[int, int], Attempt]
     """All attempts on the machine, by job index and task number."""
     evictions: deque[float]
-    sched_view: MachineSnapshot | None
+    cached_snapshot: MachineSnapshot | None
     reclaim_at: float | None
     draining: bool
     evacuate_to: int | None
@@ -272,7 +272,7 @@
         machine = attempt.machine
         self.attempts[attempt.task] = attempt
         machine.attempts[(self.index, attempt.task)] = attempt
-        machine.sched_view = None
+        machine.cached_snapshot = None
         attempt.held_back = self.changed_tasks is not None
         self._count(attempt, 1)
 
@@ -280,7 +280,7 @@
         """Removes an attempt that is not on its machine any more."""
         machine = attempt.machine
         machine.attempts.pop((self.index, attempt.task), None)
-        machine.sched_view = None
+        machine.cached_snapshot = None
         if self.attempts.get(attempt.task) is attempt:
             del self.attempts[attempt.task]
             if not attempt.finishing:
@@ -302,7 +302,7 @@
     def on_completed(self, attempt: Attempt) -> None:
         """Records that an attempt was seen to complete, so that it uses no resources any more."""
         attempt.finishing = True
-        attempt.machine.sched_view = None
+        attempt.machine.cached_snapshot = None
         self._count(attempt, -1)
 
     def _count(self, attempt: Attempt, sign: int) -> None:
--- a/badgerseam/model/machine.py
+++ b/badgerseam/model/machine.py
@@ -41,7 +41,7 @@
     images: set[str] = field(default_factory=set)
     evictions: deque[float] = field(default_factory=deque)
     """Times of the recent evictions from the machine."""
-    sched_view: MachineSnapshot | None = None
+    cached_snapshot: MachineSnapshot | None = None
     """Cached snapshot for the scheduler; None if the machine has changed since it was built."""
 
     # State that only the owner of the shard has; `reset_owner_state` resets it.
@@ -147,7 +147,7 @@
         self.reported_tasks = {}
         self.untracked_use = NOTHING
         self.untracked_use_by_team = {}
-        self.sched_view = None
+        self.cached_snapshot = None
         self.command_in_flight = False
         self.contacted = False
         self.next_push_at = 0.0
--- a/badgerseam/model/placements.py
+++ b/badgerseam/model/placements.py
@@ -120,7 +120,7 @@
     def _stop_immediately(self, attempt: Attempt) -> None:
         """Marks an attempt of a cancelled job to be stopped without a grace period."""
         attempt.stopping = True
-        attempt.machine.sched_view = None
+        attempt.machine.cached_snapshot = None
         attempt.grace_s = 0.0
         attempt.stop_sent = False
         self.machines_to_push.add(attempt.machine.index)
--- a/badgerseam/model/records.py
+++ b/badgerseam/model/records.py
@@ -164,7 +164,7 @@
         self.types = {entry.name: entry for entry in types}
         for machine in self.machines.values():
             machine.total = self.capacity(machine.type)
-            machine.sched_view = None
+            machine.cached_snapshot = None
 
     def is_active(self, behaviour: Behaviour) -> bool:
         """Whether a behaviour is switched on.
--- a/badgerseam/replicas/reservations.py
+++ b/badgerseam/replicas/reservations.py
@@ -66,7 +66,7 @@
         for index in {*before, *machines}:
             machine = self._model.machines.get(index)
             if machine is not None:
-                machine.sched_view = None
+                machine.cached_snapshot = None
 
     def release(self, key: ReplicaKey) -> None:
         """Releases all capacity reserved for a replica."""
--- a/badgerseam/replicas/reviewer.py
+++ b/badgerseam/replicas/reviewer.py
@@ -165,7 +165,7 @@
             self._log_phase_change(entry, replica, before)
             for task in observed.present:
                 # Whether members may be evicted depends on the phase, so the cached view is stale.
-                entry.job.attempts[task].machine.sched_view = None
+                entry.job.attempts[task].machine.cached_snapshot = None
             if intent.phase not in PHASES_AFTER_MOVE and intent.phase != ReplicaPhase.MOVING:
                 entry.moving.discard(number)
         if intent.phase == ReplicaPhase.DEGRADED:
--- a/badgerseam/sched/planner.py
+++ b/badgerseam/sched/planner.py
@@ -108,10 +108,10 @@
         """Returns a snapshot of a machine, which is rebuilt only after the machine has changed."""
         while machine.evictions and now - machine.evictions[0] > self._tunables.window_s:
             machine.evictions.popleft()
-        node = machine.sched_view
+        node = machine.cached_snapshot
         if node is None:
             node = build_machine_snapshot(machine, self._model.types, self.replicas)
-            machine.sched_view = node
+            machine.cached_snapshot = node
         node.evictions = len(machine.evictions)
         return node
 
@@ -277,7 +277,7 @@
         spec = attempt.job.spec
         attempt.stopping = True
         attempt.job.mark_changed(attempt.task)
-        attempt.machine.sched_view = None
+        attempt.machine.cached_snapshot = None
         attempt.stop_sent = False
         may_checkpoint = spec.checkpoint_s > 0 and (
             wait_s is None or spec.save_s + SAVE_SLACK_S < wait_s
--- a/badgerseam/workers/command_acks.py
+++ b/badgerseam/workers/command_acks.py
@@ -59,7 +59,7 @@
             if not machine.missed_answers:
                 machine.missed_since = machine.last_answer_at
             machine.missed_answers += 1
-            machine.sched_view = None
+            machine.cached_snapshot = None
 
     def _is_probably_missed(self, machine: Machine, heartbeat: wire.Heartbeat, now: float) -> bool:
         """Whether the last answer has probably been missed, if its token does not show that."""
@@ -128,5 +128,5 @@
     ):
         log.info("machine readmitted machine=%s", machine.name)
         machine.unacknowledging = machine.given_up = False
-        machine.sched_view = None
+        machine.cached_snapshot = None
         record_acknowledgement(machine)
--- a/badgerseam/workers/draining.py
+++ b/badgerseam/workers/draining.py
@@ -44,7 +44,7 @@
 def _stop(model: Model, machine: Machine, attempt: Attempt) -> None:
     attempt.stopping = True
     attempt.job.mark_changed(attempt.task)
-    machine.sched_view = None
+    machine.cached_snapshot = None
     attempt.stop_sent = False
     attempt.grace_s = attempt.job.checkpoint_grace_s
     model.machines_to_push.add(machine.index)
--- a/badgerseam/workers/heartbeats.py
+++ b/badgerseam/workers/heartbeats.py
@@ -110,7 +110,7 @@
             return
         machine.untracked_use_by_team = use_by_team
         machine.untracked_use = sum_of(use_by_team.values())
-        machine.sched_view = None
+        machine.cached_snapshot = None
         if use_by_team:
             self._model.machines_with_untracked_use.add(machine.index)
 
@@ -139,7 +139,7 @@
             # The attempt was on the machine and is gone without an exit status: the incarnation it
             # ran in has ended.
             attempt.stage = Stage.PLACED
-            machine.sched_view = None
+            machine.cached_snapshot = None
             attempt.job.mark_changed(attempt.task)
         is_unfit = (
             machine.draining
@@ -238,7 +238,7 @@
             fault_attribution.record_steady_run(attempt, now)
     if attempt.stage != stage:
         attempt.stage = stage
-        machine.sched_view = None
+        machine.cached_snapshot = None
         job.mark_changed(attempt.task)
     attempt.sent = True
     job.on_launch_sent(attempt)
--- a/badgerseam/workers/inherited_evictions.py
+++ b/badgerseam/workers/inherited_evictions.py
@@ -46,7 +46,7 @@
         free = free.plus(victim.job.demand)
         _stop(victim)
         log.info("eviction repeated task=%s machine=%s", victim.name, machine.name)
-    machine.sched_view = None
+    machine.cached_snapshot = None
     model.machines_to_push.add(machine.index)
 
 
--- a/badgerseam/workers/lease_expiry.py
+++ b/badgerseam/workers/lease_expiry.py
@@ -200,7 +200,7 @@
             machine.unacknowledging = machine.given_up = True
             # A heartbeat that shows this token proves that commands reach the worker again.
             machine.token_bump += 1
-            machine.sched_view = None
+            machine.cached_snapshot = None
         self._on_change()
 
     async def _probe_overdue(self, machine: Machine) -> None:
