--- a/badgerseam/model/placements.py
+++ b/badgerseam/model/placements.py
@@ -7,12 +7,12 @@
 from badgerseam.levels.table import Behaviour
 from badgerseam.model.job import FINISHED, PLACED, Attempt, Job, Phase, Stage
 from badgerseam.model.machine import Machine
-from badgerseam.model.records import Records, name_key
+from badgerseam.model.records import ReplicatedState, name_key
 from badgerseam.wire import state as wire
 
 
 @dataclass(slots=True)
-class Placements(Records):
+class Placements(ReplicatedState):
     """Changes attempts and ended jobs, and keeps all indices and accounts consistent."""
 
     def place(self, job: Job, task: int, number: int, machine: Machine, stage: Stage) -> Attempt:
--- a/badgerseam/model/records.py
+++ b/badgerseam/model/records.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Records:
+class ReplicatedState:
     """All shared state of a controller, protected by one lock that is never held during I/O.
 
     Callers hold the lock.
