--- a/badgerseam/cluster/claim_policy.py
+++ b/badgerseam/cluster/claim_policy.py
@@ -45,7 +45,7 @@
         """Additional checks if the standby (badgerseam/standby/) is enabled, else None."""
 
     def observe_controllers(self, now: float) -> None:
-        """Record since when each controller has been registered and available to own shards."""
+        """Records since when each controller has been registered and available to own shards."""
         controllers = self._model.controllers
         for name in list(self._available_since):
             if name not in controllers:
--- a/badgerseam/cluster/claims.py
+++ b/badgerseam/cluster/claims.py
@@ -64,12 +64,12 @@
         return key in self._pending
 
     def start_claim(self, key: str, replaced: ObservedClaim | None) -> None:
-        """Take a claim in the background; `replaced` is this controller's claim that it replaces,
+        """Takes a claim in the background; `replaced` is this controller's claim that it replaces,
         or None."""
         self._tasks.spawn(self._claim(key, replaced))
 
     def start_reclaim(self, shard: Shard, claim: ObservedClaim) -> None:
-        """Replace, in the background, a claim of this controller whose bound on previous owners
+        """Replaces, in the background, a claim of this controller whose bound on previous owners
         cannot be relied on."""
         key = claim_key(shard.index)
         if key not in self._pending:
@@ -87,7 +87,7 @@
         await self.write(key, version, lease, until)
 
     async def write(self, key: str, version: int, lease: int, until: float) -> bool:
-        """Write this controller's claim, replacing the one of `version` (0: no claim); returns
+        """Writes this controller's claim, replacing the one of `version` (0: no claim); returns
         whether the claim is known to be durable.
 
         `until`: the wall-clock time by which all previous owners are past their partition bounds.
@@ -121,7 +121,8 @@
     # ---- giving up ----
 
     def resign(self, shard: Shard) -> None:
-        """Stop acting for a shard at once and remove its claim, if this controller still has it."""
+        """Stops acting for a shard at once, and removes its claim if this controller still has
+        it."""
         if shard.releasing:
             return
         claim = shard.claim
@@ -136,7 +137,7 @@
         self._tasks.spawn(self._release(shard, claim))
 
     def resign_leadership(self) -> None:
-        """Give up the leadership."""
+        """Gives up the leadership."""
         claim = self._model.leader_claim
         if claim is not None and self._lease.is_lease_of(claim):
             log.info("leadership resigned term=%d", claim.version)
@@ -157,7 +158,7 @@
         self._on_change()
 
     async def _remove(self, key: str, version: int) -> None:
-        """Remove a claim, conditionally on its version.
+        """Removes a claim, conditionally on its version.
 
         The removal is retried while this controller is unavailable: a claim that remains on its
         lease would keep all other controllers from taking it.
--- a/badgerseam/cluster/controller_lease.py
+++ b/badgerseam/cluster/controller_lease.py
@@ -13,7 +13,7 @@
 
 
 class ControllerLease:
-    """Grants and renews the lease, and tells what its last confirmation still permits."""
+    """Requests and renews the lease, and tells what its last confirmation still permits."""
 
     def __init__(self, model: Model, state: StateClient, ttl_s: float) -> None:
         self._model = model
@@ -27,14 +27,14 @@
         """When the last confirmed renewal was sent, in seconds of the monotonic clock."""
 
     async def grant(self) -> None:
-        """Request a new lease; raises StateUnavailableError if that fails."""
+        """Requests a new lease; raises StateUnavailableError if that fails."""
         sent_at = self._clock.now()
         number = await self._state.grant(self.ttl_s)
         self.number, self.confirmed_at = number, sent_at
         log.info("lease granted controller=%s lease=%d", self._node, number)
 
     async def renew(self, number: int) -> None:
-        """Renew the lease; raises LeaseExpiredError if it has ended."""
+        """Renews the lease; raises LeaseExpiredError if it has ended."""
         sent_at = self._clock.now()
         await self._state.renew(number, self.ttl_s / 3)
         self.confirmed_at = sent_at
--- a/badgerseam/cluster/heartbeat_proxy.py
+++ b/badgerseam/cluster/heartbeat_proxy.py
@@ -70,8 +70,8 @@
 
 
 class HeartbeatProxy:
-    """Both sides of the protocol: acts as a proxy for other owners, and as an owner takes into
-    account the peers that may act as its proxies."""
+    """Implements both sides of the protocol: acts as a proxy for other owners, and as an owner
+    takes into account the peers that may act as its proxies."""
 
     def __init__(
         self,
@@ -166,7 +166,7 @@
         )
 
     def review(self) -> None:
-        """Keep the proxy record up to date; called a few times a second."""
+        """Keeps the proxy record up to date; called a few times a second."""
         model, membership = self._model, self._membership
         if not model.loaded or self._is_writing or not membership.lease_is_current:
             return
@@ -238,7 +238,7 @@
     # ---- as an owner ----
 
     def observe_peers(self) -> None:
-        """Update what is known of the peers' records; called a few times a second."""
+        """Updates what is known of the peers' records; called a few times a second."""
         now = self._clock.now()
         self._observe_outage(now)
         # A full reload of the replica does not show records that were written and removed before.
@@ -261,7 +261,7 @@
                 )
 
     def _observe_records(self, name: str, has_reloaded: bool, now: float) -> None:
-        """Record the versions of a peer's records, and until when it may act without the state
+        """Records the versions of a peer's records, and until when it may act without the state
         service."""
         model = self._model
         controller, proxy = model.controllers.get(name), model.proxies.get(name)
@@ -276,7 +276,7 @@
         self._record_versions[name] = versions
 
     def _observe_proxy(self, name: str, has_reloaded: bool, now: float) -> None:
-        """Record whether a peer is a proxy for this controller, or was since the last call."""
+        """Records whether a peer is a proxy for this controller, or was since the last call."""
         proxy = self._model.proxies.get(name)
         node = self._membership.node
         named_at = self._model.proxy_bounds.get((name, node), 0)
--- a/badgerseam/cluster/membership.py
+++ b/badgerseam/cluster/membership.py
@@ -138,7 +138,7 @@
     # ---- the lease ----
 
     async def keep_lease(self) -> None:
-        """Acquire a lease and renew it, until cancelled."""
+        """Acquires a lease and renews it, until cancelled."""
         failures = 0
         while True:
             try:
@@ -179,8 +179,8 @@
     # ---- claims ----
 
     def review(self) -> None:
-        """Reconcile the claims in the replica with the shards that this controller acts for, and
-        take or return claims as needed."""
+        """Reconciles the claims in the replica with the shards that this controller acts for, and
+        takes or returns claims as needed."""
         model = self._model
         now = self._clock.now()
         with model.lock:
@@ -209,7 +209,7 @@
             self._model.disown(shard)
 
     def _own_if_claimed(self, shard: Shard) -> None:
-        """Start to act for a shard if the replica shows this controller's claim on it."""
+        """Starts to act for a shard if the replica shows this controller's claim on it."""
         claim = shard.claim
         if shard.owned or shard.releasing:
             return
@@ -237,11 +237,12 @@
             self._return_home(shard)
 
     def reclaim(self, shard: Shard, claim: ObservedClaim) -> None:
-        """Replace a claim of this controller whose bound on previous owners cannot be relied on."""
+        """Replaces a claim of this controller whose bound on previous owners cannot be relied
+        on."""
         self._claims.start_reclaim(shard, claim)
 
     async def take_over_claim(self, key: str, version: int) -> bool:
-        """Take a claim over from a peer at its request; returns whether the new claim is known to
+        """Takes a claim over from a peer at its request; returns whether the new claim is known to
         be durable. The claim is replaced in one step, so that the shard always has an owner."""
         lease = self.lease
         model = self._model
@@ -257,18 +258,22 @@
         return await self._claims.write(key, version, lease, previous_owner_until(model, None))
 
     def resign(self, shard: Shard) -> None:
-        """Stop acting for a shard at once and remove its claim, if this controller still has it."""
+        """Stops acting for a shard at once, and removes its claim if this controller still has
+        it."""
         self._claims.resign(shard)
 
     def resign_leadership(self) -> None:
-        """Give up the leadership."""
+        """Gives up the leadership."""
         self._claims.resign_leadership()
 
     # ---- returning a shard to its home controller ----
 
     def _return_home(self, shard: Shard) -> None:
-        """Ask a shard's home controller to take it over in one step. The shard is resigned if the
-        home cannot be asked, for example because its program version lacks such requests."""
+        """Asks a shard's home controller to take it over in one step.
+
+        The shard is resigned if its home controller cannot be asked, for example because its
+        program version lacks such requests.
+        """
         claim, request = shard.claim, self.request_takeover
         if request is None or claim is None:
             self.resign(shard)
@@ -283,8 +288,8 @@
             home = self.claim_policy.home_of(shard)
             is_taken = await request(home, claim_key(shard.index), claim.version)
             if is_taken is not None:
-                # Either the replica is about to show the takeover, or the home is not ready yet
-                # and is asked again.
+                # Either the replica is about to show the takeover, or the home controller is not
+                # ready yet and is asked again.
                 await asyncio.sleep(RETURN_RETRY_S)
                 return
             with self._model.lock:
@@ -306,21 +311,22 @@
         return reason in self.registration.unavailable_reasons
 
     def mark_unavailable(self, reason: UnavailableReason) -> None:
-        """Add a reason not to take shards. The caller has to hand over the shards already owned."""
+        """Adds a reason not to take shards. The caller has to hand over the shards already
+        owned."""
         self.registration.mark_unavailable(reason)
 
     def mark_available(self, reason: UnavailableReason) -> None:
-        """Remove a reason not to take shards."""
+        """Removes a reason not to take shards."""
         self.registration.mark_available(reason)
 
     async def announce_unavailable(self) -> bool:
-        """Write this controller's record with its unavailability; returns whether it is known to be
-        durable."""
+        """Writes this controller's record with its unavailability; returns whether it is known to
+        be durable."""
         await self.registration.write()
         return self.registration.is_written
 
     def withdraw_if_replaceable(self) -> bool:
-        """Leave this controller's shards to peers until `mark_available` is called; returns False
+        """Leaves this controller's shards to peers until `mark_available` is called; returns False
         if no peer is available."""
         if self.receives_no_heartbeats or self.lease is None or not self.takeover_candidates():
             return False
@@ -338,7 +344,7 @@
                     self.resign(shard)
 
     def deactivate(self) -> None:
-        """Give up all shards and the leadership, because the program does not support the site's
+        """Gives up all shards and the leadership, because the program does not support the site's
         level."""
         self.mark_unavailable(UnavailableReason.UNSUPPORTED_LEVEL)
         with self._model.lock:
--- a/badgerseam/cluster/peers.py
+++ b/badgerseam/cluster/peers.py
@@ -75,7 +75,7 @@
         self._addresses = {sibling.node: sibling.peer_addr for sibling in settings.siblings}
 
     async def handle(self, method: str, path: str, body: bytes) -> Reply:
-        """Answer a peer's request."""
+        """Answers a peer's request."""
         if method == "GET":
             return self._answer_get(path)
         if method != "POST":
@@ -104,7 +104,7 @@
     # ---- takeovers ----
 
     def set_takeover_handler(self, take_over: Callable[[str, int], Awaitable[bool]]) -> None:
-        """Set the handler for claims that peers hand over: `take_over` gets the key and the
+        """Sets the handler for claims that peers hand over: `take_over` gets the key and the
         version, and returns whether the new claim is known to be durable."""
         self._take_over = take_over
 
@@ -121,7 +121,7 @@
         return Reply(200)
 
     async def request_takeover(self, node: str, key: str, version: int) -> bool | None:
-        """Ask a peer to take over a claim of this controller.
+        """Asks a peer to take over a claim of this controller.
 
         Returns whether the peer says that it has done so; None if it cannot be asked, for example
         because its program version lacks such requests. Without a response the claim may have been
@@ -143,7 +143,7 @@
     def set_explain_handlers(
         self, local: LocalAnswers, view: Callable[[], CloudView | None]
     ) -> None:
-        """Set the handlers for peers' requests to explain waiting jobs and to return the view of
+        """Sets the handlers for peers' requests to explain waiting jobs and to return the view of
         the cloud."""
         self._explain_shard = local
         self._cloud_view = view
@@ -235,7 +235,7 @@
         return self._unanswered_rounds >= MAX_UNANSWERED_ROUNDS
 
     async def run_health_checks(self) -> None:
-        """Check repeatedly whether the peers respond, and whether they reach the state service,
+        """Checks repeatedly whether the peers respond, and whether they reach the state service,
         until cancelled."""
         while True:
             responses = self._state.responses
@@ -249,7 +249,7 @@
             )
 
     async def _check_health(self, node: str, address: str) -> bool:
-        """Check a peer's health; returns whether it has responded."""
+        """Checks a peer's health; returns whether it has responded."""
         try:
             response = await self._http.request(address, "GET", "/health", None, HEALTH_INTERVAL_S)
             health = wire.health_decoder.decode(response.body)
@@ -292,7 +292,7 @@
     async def transfer_machines(
         self, machines: list[Machine], shard: int, evacuate: bool = False
     ) -> set[str]:
-        """Have the owner of the machines, which are all of one shard, transfer them to another
+        """Has the owner of the machines, which are all of one shard, transfer them to another
         shard; returns the names of the machines that it has transferred."""
         claim = self._model.shards[machines[0].shard].claim
         if claim is None:
--- a/badgerseam/cluster/registration.py
+++ b/badgerseam/cluster/registration.py
@@ -64,19 +64,19 @@
     # ---- availability ----
 
     def mark_unavailable(self, reason: UnavailableReason) -> None:
-        """Add a reason not to take shards."""
+        """Adds a reason not to take shards."""
         self.unavailable_reasons.add(reason)
         self.is_written = False
 
     def mark_available(self, reason: UnavailableReason) -> None:
-        """Remove a reason not to take shards."""
+        """Removes a reason not to take shards."""
         self.unavailable_reasons.discard(reason)
         self.is_written = False
 
     # ---- the record ----
 
     async def write(self) -> None:
-        """Write the record; afterwards `is_written` tells whether it is known to be up to date."""
+        """Writes the record; afterwards `is_written` tells whether it is known to be up to date."""
         try:
             written = await self._write_record()
         except LeaseExpiredError:
@@ -87,13 +87,13 @@
             self.is_written = written == self._build_record()
 
     def write_again(self) -> None:
-        """Write the record again immediately, in the background."""
+        """Writes the record again immediately, in the background."""
         if self._lease.number is not None:
             self.is_written = False
             self._tasks.spawn(self.write())
 
     def check_overwritten(self, now: float) -> None:
-        """Schedule another write if the replica shows no record or that of another lease.
+        """Schedules another write if the replica shows no record or that of another lease.
 
         A delayed, unconditional write by an earlier process of an older program version may have
         overwritten the record. What it wrote is removed when that process's lease ends, and without
@@ -124,8 +124,8 @@
         )
 
     async def _write_record(self) -> wire.ControllerRecord | None:
-        """Write the record, rebuilt for each attempt, and return it; None if it is not known to be
-        written.
+        """Writes the record, rebuilt for each attempt, and returns it; None if it is not known to
+        be written.
 
         Each write is conditional on the version of the previous record. A delayed unconditional
         write would permanently replace a newer record by an older one: peers would then return no
--- a/badgerseam/cluster/watch_health.py
+++ b/badgerseam/cluster/watch_health.py
@@ -71,7 +71,7 @@
         self._handover: asyncio.Task[None] | None = None
 
     def check(self) -> None:
-        """Check the watch; called a few times a second, with the model's lock held."""
+        """Checks the watch; called a few times a second, with the model's lock held."""
         now = self._clock.now()
         step_s = min(now - self._checked_at, MAX_STEP_S)
         self._checked_at = now
@@ -93,7 +93,7 @@
             self._handover = asyncio.ensure_future(self._hand_over_all())
 
     def _resume_if_watch_is_stable(self, now: float) -> None:
-        """Take shards again once the watch has worked for long enough."""
+        """Lets this controller take shards again once the watch has worked for long enough."""
         if not self._model.is_up_to_date:
             self._followed_since = None
             return
@@ -115,8 +115,8 @@
         )
 
     async def _read_own_claims(self) -> list[tuple[str, int]] | None:
-        """Read the keys and versions of this controller's current claims, the leadership last;
-        None if they cannot be read.
+        """Reads the keys and versions of this controller's current claims, the leadership last;
+        returns None if they cannot be read.
 
         The replica may lack the claims of this process: after a restart with a stalled watch it
         shows those of the previous process, with versions that are never updated.
@@ -145,8 +145,8 @@
         )
 
     async def _hand_over_all(self) -> None:
-        """Ask the peers repeatedly, until this controller has no claim left or its watch works
-        again."""
+        """Asks the peers repeatedly to take the claims over, until this controller has no claim
+        left or its watch works again."""
         while self._is_stalled():
             claims = await self._read_own_claims()
             if claims is not None and not claims:
--- a/badgerseam/fleet/capacity_reserve.py
+++ b/badgerseam/fleet/capacity_reserve.py
@@ -16,8 +16,8 @@
 ARRIVAL_WINDOWS = 4
 """Age, in windows, from which an arrival is ignored."""
 ABSORBED_DEVIATIONS = 0.8
-"""Standard deviations of the arrivals that are absorbed by capacity from departures. In
-measurements, no reserve was needed if four fifths of the work had to start in time."""
+"""Standard deviations of the arrivals that are absorbed by capacity from departures. No reserve is
+therefore needed if four fifths of the work have to start in time."""
 MIN_REQUIRED_FRACTION = 0.5
 MAX_REQUIRED_FRACTION = 0.999
 
--- a/badgerseam/model/quota.py
+++ b/badgerseam/model/quota.py
@@ -2,8 +2,9 @@
 
 A limit applies to everything that may actually run on machines. An attempt therefore counts from
 the moment it is planned until it has certainly ended: also while its launch is delayed, while it is
-stopping, evicted or cancelled, and on machines that hang or cannot be reached. ResourceSum are
-stored as integer millionths, so that sums return to exactly zero.
+stopping, evicted or cancelled, and on machines that hang or cannot be reached. The sums are kept in
+whole millionths, so that they return to exactly zero after the same amounts have been added and
+subtracted.
 """
 
 from __future__ import annotations
--- a/badgerseam/sched/candidates.py
+++ b/badgerseam/sched/candidates.py
@@ -64,7 +64,8 @@
     def _best_of_score(
         self, score: Score, nodes: list[MachineSnapshot], zones: dict[str, int]
     ) -> int | None:
-        """Among the machines with one score, return one in the zone with the fewest job tasks."""
+        """Returns a machine with this score in the zone with the fewest tasks of the job, or
+        None."""
         zone_heaps = self._heaps[score]
         best: int | None = None
         fewest_tasks = 0
--- a/badgerseam/sched/oldest_job.py
+++ b/badgerseam/sched/oldest_job.py
@@ -19,8 +19,8 @@
 aged."""
 OLDEST_JOB_FRACTION = 0.25
 """Fraction of the low-priority starts that the oldest job may use while it can still begin in time.
-Measured in a long burst of submissions: with 0.5, fewer large jobs began completely in time than
-without ageing, because newer large jobs, which could have begun in time, had to wait as well."""
+With 0.5, in a long burst of submissions, fewer large jobs begin completely in time than without
+ageing, because newer large jobs, which could still begin in time, have to wait as well."""
 LATE_FRACTION = 0.1
 """The same fraction for a job that can no longer begin in time."""
 OLDEST_JOB_MAX_CREDIT = 64.0
--- a/badgerseam/sched/pts.py
+++ b/badgerseam/sched/pts.py
@@ -176,7 +176,7 @@
     if on_unplaced is not None and placed < request.count:
         on_unplaced(placement.zones, placed)
     if request.gang and placed < request.count:
-        # All pods of a gang are planned before any eviction takes effect: if one does not fit,
+        # All tasks of a gang are planned before any eviction takes effect: if one does not fit,
         # everything is rolled back.
         placement.undo()
         return 0
--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -103,7 +103,7 @@
         self._tasks = BackgroundTasks()
 
     def step(self) -> None:
-        """Probe the peers that are due, and advance the suspicions."""
+        """Probes the peers that are due, and advances the suspicions."""
         now = self._clock.now()
         has_paused = now - self._stepped_at > MAX_STEP_S
         self._stepped_at = now
@@ -118,7 +118,7 @@
             self._review_suspicion(name, peer, now)
 
     def on_redirected_worker(self, owner: str, machine: str) -> None:
-        """Record that a worker of another owner has sent its heartbeat to this controller."""
+        """Records that a worker of another owner has sent its heartbeat to this controller."""
         peer = self.peers.get(owner)
         if peer is not None and peer.refusals:
             peer.redirected_workers.add(machine)
@@ -171,7 +171,7 @@
         self._on_update(name, update)
 
     def _recognize_process(self, name: str, peer: PeerState, process: str) -> None:
-        """Record which process responded: the same as before, or a new one."""
+        """Records which process responded: the same as before, or a new one."""
         if peer.revoked_process is not None:
             if peer.revoked_process == process:
                 self._back_off(name, peer)
@@ -181,7 +181,7 @@
         peer.process = process
 
     def _back_off(self, name: str, peer: PeerState) -> None:
-        """Stop suspecting a peer for a while, because its lease was revoked although its process
+        """Stops suspecting a peer for a while, because its lease was revoked although its process
         had not ended."""
         backoff_s = max(self._options.backoff_s, 2 * peer.backoff_s)
         peer.backoff_s = min(backoff_s, MAX_BACKOFF_S)
@@ -191,7 +191,7 @@
     # ---- being suspected by peers ----
 
     def _answer_liveness_requests(self) -> None:
-        """Respond to peers whose records name this controller, by writing its own record again."""
+        """Responds to peers whose records name this controller, by writing its own record again."""
         for name, seen in self._model.controllers.items():
             is_asked = self._membership.node in seen.record.suspected
             if is_asked and self._answered_versions.get(name) != seen.version:
@@ -202,7 +202,7 @@
     # ---- suspecting peers ----
 
     def _review_suspicion(self, name: str, peer: PeerState, now: float) -> None:
-        """Take the next step from a suspicion towards the revocation of the peer's lease."""
+        """Takes the next step from a suspicion towards the revocation of the peer's lease."""
         if not self._is_suspected(peer, now) or now < max(peer.retry_after, peer.cooldown_until):
             return
         lease = lease_of(self._model, name)
@@ -305,7 +305,7 @@
         return view.refused >= CONFIRMATIONS_NEEDED
 
     def _request_liveness(self, name: str, suspicion: Suspicion, now: float) -> None:
-        """Ask the peer through the state service whether it is running, by naming it in this
+        """Asks the peer through the state service whether it is running, by naming it in this
         controller's record."""
         own = self._model.controllers.get(self._membership.node)
         if own is None:
--- a/badgerseam/standby/soft_state.py
+++ b/badgerseam/standby/soft_state.py
@@ -96,7 +96,7 @@
     def build_update(
         self, follow: wire.FollowRequest, is_held_open: bool, leader_term: int
     ) -> wire.SoftStateUpdate:
-        """Build the update with the changes for a subscriber; called with the model's lock held.
+        """Builds the update with the changes for a subscriber; called with the model's lock held.
 
         `is_held_open`: copied into the update; `leader_term`: the version of this controller's
         claim on the leadership, or 0.
@@ -240,7 +240,7 @@
         """The latest version of each claim, by key, that named another controller."""
 
     def on_update(self, node: str, update: wire.SoftStateUpdate) -> None:
-        """Store an update that a peer has sent."""
+        """Stores an update that a peer has sent."""
         now = self._model.clock.now()
         for hint in update.shards:
             if 0 <= hint.shard < len(self._model.shards):
@@ -267,7 +267,7 @@
         )
 
     def observe_claims(self) -> None:
-        """Record the versions of the claims of other controllers; called a few times a second."""
+        """Records the versions of the claims of other controllers; called a few times a second."""
         model = self._model
         for shard in model.shards:
             if shard.claim is not None and not shard.owned:
@@ -280,7 +280,7 @@
             self._replaced_versions[key] = claim.version
 
     def apply_to(self, shard: Shard | None) -> int:
-        """Apply the hints for a takeover of a shard or, with None, of the leadership.
+        """Applies the hints for a takeover of a shard or, with None, of the leadership.
 
         Only hints from the claim that this controller's claim replaces are used, and only up to the
         maximum age. Returns how many were used.
--- a/badgerseam/standby/takeover_gate.py
+++ b/badgerseam/standby/takeover_gate.py
@@ -182,7 +182,7 @@
         return self._clock.now() >= self._blocked_until.get(key, -1e9)
 
     def review(self) -> None:
-        """Hand the leadership over if it cannot be acted on; called a few times a second."""
+        """Hands the leadership over if it cannot be acted on; called a few times a second."""
         self._detect_pause()
         claim = self._model.leader_claim
         if claim is None or claim.record.node != self._membership.node:
@@ -207,7 +207,7 @@
     def _run_checks(
         self, key: str, run: CheckRun, shard: Shard | None, claim: ObservedClaim
     ) -> Check | None:
-        """Run the checks; returns the first one that fails, or None, and records it in the run."""
+        """Runs the checks; returns the first one that fails, or None, and records it in the run."""
         now = self._clock.now()
         failed = self._first_failed(shard, claim)
         if failed is not None and run.has_passed:
@@ -256,7 +256,7 @@
         return is_overdue or failed.on_failure is Outcome.HAND_OVER
 
     def _block(self, key: str, failed: Check) -> None:
-        """Do not take a claim again for a while, since it is being handed over to a peer."""
+        """Blocks a claim that is handed over to a peer from being taken again for a while."""
         log.info("claim handed over key=%s check=%r", key, failed.name)
         self._blocked_until[key] = self._clock.now() + HANDED_OVER_BLOCK_S
         self._runs.pop(key, None)
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -121,13 +121,13 @@
     # ---- periodic work ----
 
     async def run(self) -> None:
-        """Call `step` periodically, until cancelled."""
+        """Calls `step` periodically, until cancelled."""
         while True:
             await asyncio.sleep(self._step_s)
             self.step()
 
     def step(self) -> None:
-        """Run the checks and the failure detector once; called several times in each `probe_s`."""
+        """Runs the checks and the failure detector once; called several times in each `probe_s`."""
         model = self._model
         with model.lock:
             if not model.loaded:
@@ -150,7 +150,7 @@
     # ---- peers' requests ----
 
     async def handle(self, path: str, body: bytes) -> Reply:
-        """Answer a peer's request to /standby/follow or /standby/view."""
+        """Answers a peer's request to /standby/follow or /standby/view."""
         try:
             if path == "/standby/view":
                 request = wire.peer_view_request_decoder.decode(body)
@@ -169,8 +169,8 @@
         return Reply(200, wire.encode(self.build_update(follow, is_held_open)))
 
     def build_update(self, follow: wire.FollowRequest, is_held_open: bool) -> wire.SoftStateUpdate:
-        """Build the update with the soft state that has changed for a peer; `is_held_open`: whether
-        its request was held open before."""
+        """Builds the update with the soft state that has changed for a peer; `is_held_open`:
+        whether its request was held open before."""
         with self._model.lock:
             claim = self._model.leader_claim
             is_leader = claim is not None and claim.record.node == self._membership.node
