--- a/badgerseam/cluster/controller_lease.py
+++ b/badgerseam/cluster/controller_lease.py
@@ -13,7 +13,7 @@
 
 
 class ControllerLease:
-    """Requests and renews the lease, and tells what its last confirmation still permits."""
+    """Requests and renews the lease, and determines what its last confirmation permits."""
 
     def __init__(self, model: Model, state: StateClient, ttl_s: float) -> None:
         self._model = model
--- a/badgerseam/cluster/heartbeat_proxy.py
+++ b/badgerseam/cluster/heartbeat_proxy.py
@@ -138,10 +138,10 @@
         the machine's lease would keep the launch's token and incarnation valid for longer than the
         cancelled task may run.
 
-        A task that its owner saw end is in no task page any more (`store/stale_pages.py`). The
-        incarnation cannot decide this: a delayed copy of an old heartbeat looks the same as the
+        Once its owner has seen a task end, no task page contains the task (`store/stale_pages.py`).
+        The incarnation cannot decide this: a delayed copy of an old heartbeat looks the same as the
         heartbeat of a machine whose lease has ended because this controller did not answer it, and
-        an owner may be able to reach a machine that cannot reach it.
+        an owner may be able to reach a machine that cannot reach the owner.
         """
         model = self._model
         # The replica may be up to MAX_STATE_AGE_S old when it is acted on.
--- a/badgerseam/cluster/partition.py
+++ b/badgerseam/cluster/partition.py
@@ -11,10 +11,11 @@
 - As soon as one worker shows such a token, the workers of its shard in its zone are redirected.
   Workers in other zones are not: an owner that reaches one zone need not reach another.
 - Each worker is redirected once for each token. A worker that comes back with the same token has
-  found no other controller: the later owner may have ended as well. Its lease is then renewed here,
-  with no commands except to halt cancelled tasks, for as long as owners assume such renewals:
-  until the partition bound, and, if the worker shows a token of the later owner, only in this
-  controller's own zone and after its own record must have ended.
+  found no other controller: the later owner may have ended as well. This controller then renews the
+  worker's lease as a proxy, with no commands except to halt cancelled tasks, for as long as owners
+  assume such renewals, which is until the partition bound. If the worker shows a token of the later
+  owner, it does so only in its own zone, and only once its own record must have been removed with
+  its lease.
 - A machine that this controller may have transferred to another shard, in a write without a
   response, proves nothing: the token may come from the other shard's owner, while this controller
   still owns its own shard.
@@ -71,8 +72,8 @@
     def verdict(self, shard: Shard, machine: Machine, token: int) -> HeartbeatVerdict:
         """Returns how to answer a worker of an owned shard that shows the given token."""
         if self._reset_if_connected():
-            # The replica tells who owns the shard, but a worker with a newer token is redirected
-            # all the same.
+            # The replica shows which controller owns the shard, but a worker with a newer token is
+            # redirected all the same.
             return (
                 HeartbeatVerdict.REDIRECT
                 if token > machine.fencing_token
@@ -108,8 +109,8 @@
         return self._is_first_redirect(machine, token)
 
     def _reset_if_connected(self) -> bool:
-        """Whether the state service has renewed the lease recently; if so, forgets the tokens seen
-        before."""
+        """Whether the state service has renewed the lease recently; if so, clears the tokens
+        recorded before."""
         if not self._membership.lease_is_current:
             return False
         self._superseded_terms.clear()
--- a/badgerseam/cluster/peers.py
+++ b/badgerseam/cluster/peers.py
@@ -222,9 +222,9 @@
         return self._peer_with_state if recent and self._state_age_s() > MAX_STATE_AGE_S else None
 
     def is_unreachable(self, node: str) -> bool:
-        """Whether a peer has left several requests unanswered. A peer that responds again must do
-        so about as often before it counts as reachable. Requests are counted rather than seconds
-        because a process that was suspended has sent none in the meantime."""
+        """Whether a peer has left several requests unanswered. A peer that responds again must
+        respond about as many times before it counts as reachable. Requests are counted rather than
+        seconds because a process that was suspended has sent none in the meantime."""
         return self._unanswered.get(node, 0) >= MAX_UNANSWERED
 
     @property
--- a/badgerseam/cluster/registration.py
+++ b/badgerseam/cluster/registration.py
@@ -55,7 +55,8 @@
         """Digest of the priority classes in this controller's options, published with the
         record."""
         self.suspected: set[str] = set()
-        """Peers that the record asks to prove that they are running."""
+        """Peers that this controller suspects to have ended; its record asks them to prove that
+        they are running."""
         self.is_written = False
         """Whether the record in the state service is known to be up to date."""
         self._written_at = -1e9
--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -122,7 +122,7 @@
         has_completed = False
         for tasks in self._unplaced:
             # With a long backlog, most machines cannot take any task of it. Checking every request
-            # against every machine took a quarter of the time of the leader's rounds.
+            # against every machine would take a quarter of the time of the leader's rounds.
             if not self._min_demand.fits_in(free):
                 break
             count = self._count_fitting(tasks, node, free)
--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger("badgerseam.fleet")
 
-EMPTY_PATIENCE_S = 3.0
+EMPTY_MAX_DEFER_S = 3.0
 """Seconds for which the release of a drained, empty machine may be deferred while the write rate is
 limited."""
 NO_SHARD = -1
@@ -35,13 +35,13 @@
         self._planner = planner
 
     async def reassign_records(
-        self, machines: list[Machine], shard: int, patience_s: float = 0.0
+        self, machines: list[Machine], shard: int, max_defer_s: float = 0.0
     ) -> set[str]:
         """Assigns the records of one shard's machines to a shard if this controller still owns the
         former shard.
 
         With NO_SHARD, marks the records for release. Returns the names whose change is durable.
-        `patience_s`: seconds for which the write may be deferred while the write rate is limited.
+        `max_defer_s`: seconds for which the write may be deferred while the write rate is limited.
         """
         if not machines:
             return set()
@@ -69,7 +69,7 @@
             edit,
             (claim_key(origin.index), term),
             lambda: origin.owned and origin.term == term,
-            patience_s,
+            max_defer_s,
         )
 
     async def release_finished(self) -> None:
@@ -79,13 +79,13 @@
             for machine in self.releasable():
                 machine.releasing = True
                 # Tasks of a lost or unresponsive machine cannot restart until it is released.
-                patience_s = 0.0 if machine.lost or machine.given_up else EMPTY_PATIENCE_S
-                batches.setdefault((machine.shard, patience_s), []).append(machine)
+                max_defer_s = 0.0 if machine.lost or machine.given_up else EMPTY_MAX_DEFER_S
+                batches.setdefault((machine.shard, max_defer_s), []).append(machine)
 
-        async def mark_for_release(machines: list[Machine], patience_s: float) -> None:
+        async def mark_for_release(machines: list[Machine], max_defer_s: float) -> None:
             """Marks the records of machines of one shard for release."""
             try:
-                await self.reassign_records(machines, NO_SHARD, patience_s)
+                await self.reassign_records(machines, NO_SHARD, max_defer_s)
             finally:
                 for machine in machines:
                     machine.releasing = False
--- a/badgerseam/fleet/machine_types.py
+++ b/badgerseam/fleet/machine_types.py
@@ -68,8 +68,8 @@
         is_leader = claim is not None and self._membership.is_leader
         is_unchanged = {entry.name: entry for entry in types} == model.types
         # Types that a leader fetched before it became the leader are not durable yet. They have to
-        # be stored: a controller that restarted while the cloud was unreachable had no types and
-        # could use no machine.
+        # be stored: otherwise a controller that restarts while the cloud is unreachable has no
+        # types and can use no machine.
         if is_unchanged and (model.types_version or not is_leader):
             return
         value = wire.raw(types)
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -308,7 +308,8 @@
         if shard.owned and machine.incarnation > 0:
             return False
         # Before a new leader has seen a list, it cannot tell whether other owners' machines without
-        # work have booted. Counted as overdue, running machines were replaced by rented ones.
+        # work have booted. If they counted as overdue, running machines would be replaced by rented
+        # ones.
         return not (self.machine_list.has_listed and self.boot_times.is_overdue(machine))
 
     def _add_rentals(self, nodes: list[pts.MachineSnapshot], shard: Shard) -> None:
--- a/badgerseam/fleet/scale_in.py
+++ b/badgerseam/fleet/scale_in.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger("badgerseam.fleet")
 
-EMPTY_RECORD_PATIENCE_S = 10.0
+EMPTY_RECORD_MAX_DEFER_S = 10.0
 """Seconds for which deleting the record of an empty machine may be deferred while the write rate is
 limited."""
 RETRY_INTERVAL_S = 0.5
@@ -84,10 +84,10 @@
         busy = [machine for machine in machines if machine.attempts]
         empty = [machine for machine in machines if not machine.attempts]
         self._spawn(self._delete_records(busy, 0.0))
-        self._spawn(self._delete_records(empty, EMPTY_RECORD_PATIENCE_S))
+        self._spawn(self._delete_records(empty, EMPTY_RECORD_MAX_DEFER_S))
         self.in_progress.difference_update(set(names) - {m.name for m in machines})
 
-    async def _delete_records(self, machines: list[Machine], patience_s: float) -> None:
+    async def _delete_records(self, machines: list[Machine], max_defer_s: float) -> None:
         claim = self._model.leader_claim
         try:
             if claim is not None and machines:
@@ -96,7 +96,7 @@
                     lambda _: None,
                     (LEADER_KEY, claim.version),
                     lambda: self._membership.is_leader,
-                    patience_s,
+                    max_defer_s,
                 )
                 self._schedule_review()
         finally:
--- a/badgerseam/fleet/scale_out.py
+++ b/badgerseam/fleet/scale_out.py
@@ -109,9 +109,9 @@
                 Urgency.PLACE,
                 {LEADER_KEY: version, key: 0},
                 [wire.Write(put=key, value=value)],
-                # The write is abandoned only once the claim is lost, and then it cannot succeed.
-                # Abandoned earlier, for example after an outage of the state service, the demand
-                # was requested again under a second name, and both rentals were executed.
+                # The write is abandoned only once the claim is lost, and then it cannot succeed. If
+                # it were abandoned earlier, for example after an outage of the state service, the
+                # demand would be requested again under a second name, and both rentals executed.
                 should_send=lambda: self._is_still_leader(version),
             )
             with model.lock:
@@ -274,9 +274,9 @@
                     if stored is None:
                         # The rental was deleted by an earlier attempt, which was executed.
                         return True
-                    # Without this condition, a delayed write recreated the records of machines that
-                    # had been removed since: a deleted group cannot be told from one that was never
-                    # written.
+                    # Without this condition, a delayed write could recreate the records of machines
+                    # that have been removed since: a deleted group cannot be told from one that was
+                    # never written.
                     conditions[rental_key(rental)] = stored[1]
                     if first + max_rows >= len(rows):
                         deletions.append(wire.Write(delete=rental_key(rental)))
--- a/badgerseam/model/machine_groups.py
+++ b/badgerseam/model/machine_groups.py
@@ -41,7 +41,7 @@
         model.shards_to_plan.add(machine.shard)
     else:
         # Without the reset, a machine that was moved would count as draining forever on its former
-        # owner. If that controller was the leader, it neither used nor released the machine.
+        # owner. If that controller is the leader, it would neither use nor release the machine.
         machine.reset_owner_state()
 
 
--- a/badgerseam/sched/candidates.py
+++ b/badgerseam/sched/candidates.py
@@ -22,8 +22,8 @@
     """Priority queue of the machines with free capacity for a task of a request.
 
     Machines with the same score are grouped by zone. A fleet of hundreds has many identical
-    machines, mostly empty ones, and comparing all of them for every task took most of the planning
-    time.
+    machines, mostly empty ones, and comparing all of them for every task would take most of the
+    planning time.
     """
 
     def __init__(self, request: Request) -> None:
--- a/badgerseam/sched/diagnosis.py
+++ b/badgerseam/sched/diagnosis.py
@@ -152,7 +152,7 @@
     reached: int | None = None
     infeasibility: Infeasibility | None = None
 
-    def note(
+    def record(
         self, checks: _MachineChecks, request: Request, zones: dict[str, int], reached: int
     ) -> None:
         """Checks the machines for a task that cannot be placed, and keeps the first result."""
@@ -167,7 +167,7 @@
     team = state.teams[request.team]
     used, draining = team.used, team.draining
     unplaced = _FirstUnplaced()
-    placed = pts.place(state, request, partial(unplaced.note, checks, request))
+    placed = pts.place(state, request, partial(unplaced.record, checks, request))
     return Finding(
         request=request,
         placed=placed,
--- a/badgerseam/sched/gang_placement.py
+++ b/badgerseam/sched/gang_placement.py
@@ -84,8 +84,8 @@
         return False
     if max_machines is not None:
         new = new[: max_machines - used_machines]
-    # Comparing sums is sufficient: if more machines are required than the largest ones that hold
-    # all tasks, the tasks can be spread with one on each missing machine.
+    # Comparing sums is sufficient: if the largest machines hold all tasks but are fewer than
+    # required, tasks can be moved to the missing machines, one to each.
     return sum(new) + sum(item.count for item in capacities if item.has_members) >= count
 
 
--- a/badgerseam/sched/machine_snapshots.py
+++ b/badgerseam/sched/machine_snapshots.py
@@ -14,7 +14,7 @@
 MAX_PUSH_FAILURES = 3
 """Failed attempts to send commands after which a machine counts as unreachable."""
 MAX_MISSED_HEARTBEATS = 3
-"""Missed heartbeats after which a machine counts as silent."""
+"""Missed heartbeats after which a machine counts as unresponsive."""
 HEARTBEAT_DELAY_S = 0.5
 """Seconds by which a heartbeat may be late."""
 DEFAULT_FETCH_GB_PER_S = 1.0
@@ -33,8 +33,8 @@
         return "draining"
     if machine.is_probably_unreachable:
         return "deaf"
-    max_silence_s = MAX_MISSED_HEARTBEATS * heartbeat_interval_s + HEARTBEAT_DELAY_S
-    if machine.incarnation_without_heartbeats or now - machine.last_heartbeat_at >= max_silence_s:
+    max_gap_s = MAX_MISSED_HEARTBEATS * heartbeat_interval_s + HEARTBEAT_DELAY_S
+    if machine.incarnation_without_heartbeats or now - machine.last_heartbeat_at >= max_gap_s:
         return "silent"
     if machine.push_failures >= MAX_PUSH_FAILURES:
         return "unreachable"
--- a/badgerseam/sched/oldest_job.py
+++ b/badgerseam/sched/oldest_job.py
@@ -1,9 +1,9 @@
 """Ageing: promotes the low-priority job that has waited longest, so that it does not starve.
 
-With deadline order alone, late jobs go last. In a long burst of submissions a large array, late
-before any of it was placed, waited for six minutes while small jobs started and finished. Only one
-job at a time is promoted, and only for a fraction of the starts: if all late jobs went first, no
-job would start in time any more. The fraction is enforced with credit: each start of another
+With deadline order alone, late jobs go last: in a long burst of submissions, a large array that is
+late before any of its tasks is placed waits for six minutes while small jobs start and finish. Only
+one job at a time is promoted, and only for a fraction of the starts: if all late jobs went first,
+no job would start in time any more. The fraction is enforced with credit: each start of another
 low-priority task adds credit to the shard, and each start of the oldest job uses some.
 """
 
--- a/badgerseam/sched/planner.py
+++ b/badgerseam/sched/planner.py
@@ -24,8 +24,8 @@
 """Seconds from the end of a checkpoint to the start of the next task: one heartbeat, the start of
 the task and the fetch of its image."""
 MIN_ESTIMATE_FRACTION = 0.5
-"""Fraction of its estimate within which a task may well end, since run time estimates are that
-inaccurate."""
+"""Minimum fraction of its run time estimate that a job is assumed to need when its deadline is
+checked, since estimates are inaccurate."""
 LATE_ORDER_OFFSET_S = 1e7
 """Offset that orders jobs that can no longer meet their deadline behind those that can."""
 NO_DEADLINE_S = 1e6
@@ -291,7 +291,7 @@
             not machine.attempts
             and machine.untracked_use == NOTHING
             and not machine.command_in_flight
-            # Without this check, an empty machine reserved for a replica move was transferred to
-            # another shard before the replica could use it.
+            # Without this check, an empty machine reserved for a replica move could be transferred
+            # to another shard before the replica uses it.
             and (self.replicas is None or self.replicas.reserved_on(machine) == NOTHING)
         )
--- a/badgerseam/sched/pts.py
+++ b/badgerseam/sched/pts.py
@@ -101,7 +101,7 @@
     """Places requests of several priority classes.
 
     A claim to a guarantee goes before higher classes only for the tasks that the guarantee covers
-    at the time of placement. Without this bound, a single covered task moved a whole array of
+    at the time of placement. Without this bound, a single covered task would move a whole array of
     hundreds of tasks to the front.
     """
     state = placement_round.state
--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -46,8 +46,8 @@
 HOLD_S = 1.0
 """Seconds for which the peer holds a request open."""
 RESPONSE_GRACE_S = 1.0
-"""Seconds by which the response may be later than that; after them the probe has timed out, which
-raises no suspicion."""
+"""Seconds by which the response may exceed HOLD_S before the probe times out, which raises no
+suspicion."""
 VIEW_DEADLINE_S = 0.3
 """Deadline, in seconds, for another peer to report its view of the suspected one."""
 CONFIRMATIONS_NEEDED = 2
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -26,11 +26,11 @@
 
 RESTART_WINDOW_S = 120.0
 """Seconds during which a restart of a home controller still counts; each further restart within
-them doubles the time for which it must be available before its shard is returned."""
+this window doubles the time for which it must be available before its shard is returned."""
 MAX_REQUIRED_AVAILABLE_S = 60.0
 """Seconds of availability after which a home controller gets its shard back in any case."""
 MAX_RESTARTS = 10
-"""The number of latest restarts that are remembered for each peer."""
+"""Maximum number of restarts kept for each peer, the latest ones."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgerseam/store/committer.py
+++ b/badgerseam/store/committer.py
@@ -121,7 +121,7 @@
         Raises `ConditionFailedError` if a condition failed (an earlier attempt that received no
         response may have been applied), `LeaseExpiredError` if a write's lease has ended,
         `StateUnavailableError` after the deadline, `ProposalRejectedError` if the proposal is
-        malformed, and `ProposalDroppedError` if it is no longer wanted.
+        malformed, and `ProposalDroppedError` if `should_send` has returned False.
         """
         now = self._clock.now()
         proposal = Proposal(
@@ -275,7 +275,7 @@
     def _on_malformed(self, batch: TransactionBatch, error: MalformedRequestError) -> None:
         """Queues the proposals again to be sent one at a time; fails one that was sent alone.
 
-        Otherwise a single malformed proposal would block the others for ever.
+        Otherwise a single malformed proposal would block the others forever.
         """
         if len(batch.proposals) > 1:
             for proposal in batch.proposals:
--- a/badgerseam/store/proposal.py
+++ b/badgerseam/store/proposal.py
@@ -39,10 +39,11 @@
 
 
 class ProposalDroppedError(BadgerseamError):
-    """The proposal was dropped as no longer wanted; an earlier attempt may have been committed."""
+    """The proposal was dropped because `should_send` returned False; an earlier attempt may have
+    been committed."""
 
     def __init__(self, keys: Iterable[str]) -> None:
-        super().__init__(f"proposal no longer wanted: {', '.join(sorted(keys))}")
+        super().__init__(f"proposal dropped as no longer needed: {', '.join(sorted(keys))}")
 
 
 @dataclass(slots=True, eq=False)
--- a/badgerseam/store/proposal_queue.py
+++ b/badgerseam/store/proposal_queue.py
@@ -65,7 +65,7 @@
     def pop(self, now: float) -> QueueEntry | None:
         """Removes and returns the first entry that may still be sent, or None.
 
-        Proposals before it that are no longer wanted, or past their deadline, are failed.
+        Proposals before it that should no longer be sent, or are past their deadline, are failed.
         """
         while self._heap:
             entry = heapq.heappop(self._heap)
--- a/badgerseam/store/state_watcher.py
+++ b/badgerseam/store/state_watcher.py
@@ -41,7 +41,7 @@
     """Loads the model at the start and then applies every change in order.
 
     If the program does not support the site's level, only the level's record is read: other records
-    may have formats that the program misinterprets; such a record once crashed an older program.
+    may have formats that the program misinterprets, and such a record can crash it.
     """
 
     def __init__(
--- a/badgerseam/store/task_log_writer.py
+++ b/badgerseam/store/task_log_writer.py
@@ -235,9 +235,9 @@
     ) -> None:
         with self._model.lock:
             if entry is not None:
-                # If it is a page: the claim's condition held, so no other controller has written
-                # it. It was written by a refresh that timed out and was applied late, and contains
-                # nothing new. An earlier version gave up the shard in this case.
+                # If the key is a page, it was written by a refresh that timed out and was applied
+                # late, and it contains nothing new: the condition on the claim held, so no other
+                # controller has written it. The shard must not be given up in this case.
                 self._model.apply(key, entry.value, entry.version)
             elif is_page:
                 self._resign(shard)
--- a/badgerseam/workers/command_acks.py
+++ b/badgerseam/workers/command_acks.py
@@ -68,10 +68,10 @@
         passed_s = now - machine.last_answer_at
         # A received answer renews the lease counted from when its heartbeat was sent, which was at
         # most ACK_TIMEOUT_S before the answer, since the worker was still waiting for it.
-        is_session_lost = (
+        is_lease_lost_early = (
             heartbeat.incarnation > machine.incarnation and passed_s < self._lease_s - ACK_TIMEOUT_S
         )
-        return passed_s > self._late_s or is_session_lost
+        return passed_s > self._late_s or is_lease_lost_early
 
     def on_response(self, machine: Machine, now: float) -> None:
         """Records that a heartbeat is about to be answered with 200; may raise the token first."""
--- a/badgerseam/workers/direct_commands.py
+++ b/badgerseam/workers/direct_commands.py
@@ -79,7 +79,7 @@
         commands = self._command_queue.collect(machine, direct=True)
         if not commands and machine.push_failures:
             # Nothing is placed on a machine that left commands unanswered. Without an inspection,
-            # it would stay unused for good once no more commands are pending.
+            # it would stay unused permanently once no more commands are pending.
             self._start_inspection(machine)
             return
         if not commands and not _needs_token(machine):
--- a/badgerseam/workers/heartbeat_reception.py
+++ b/badgerseam/workers/heartbeat_reception.py
@@ -1,8 +1,8 @@
 """Detects that no worker's heartbeats reach this controller, and hands its shards over.
 
 A controller that is cut off only from its workers keeps its own lease, and with it its shards,
-while the leases of all its machines expire: in one run, a third of all tasks, including service
-replicas, were killed in this way. The controller has to detect this itself, because its peers see
+while the leases of all its machines expire and their tasks are killed, which can be a third of all
+tasks, including service replicas. The controller has to detect this itself, because its peers see
 nothing wrong with it, and has to hand its shards over before the workers' leases expire.
 """
 
--- a/badgerseam/workers/heartbeat_responder.py
+++ b/badgerseam/workers/heartbeat_responder.py
@@ -136,7 +136,7 @@
         halts = [
             halt_immediately(status)
             for status in heartbeat.tasks
-            if status.state != EXITED and not self._is_wanted(machine, status)
+            if status.state != EXITED and not self._has_active_attempt(machine, status)
         ]
         return _response(machine.fencing_token, halts[:MAX_COMMANDS])
 
@@ -145,7 +145,7 @@
         ended = self._model.ended.get(status.task.partition("/")[0])
         return ended is not None and ended[0] == Phase.CANCELLED
 
-    def _is_wanted(self, machine: Machine, status: wire.TaskStatus) -> bool:
+    def _has_active_attempt(self, machine: Machine, status: wire.TaskStatus) -> bool:
         """Whether a reported task has an attempt on its machine that is not being stopped."""
         found = self._model.find_task(status.task)
         attempt = None if found is None else machine.attempt_of(*found, status.attempt)
--- a/badgerseam/workers/unregistered.py
+++ b/badgerseam/workers/unregistered.py
@@ -25,8 +25,8 @@
         """Starts an inspection of the worker. Callers must hold the model's lock.
 
         Only a machine that answers an inspection is adopted. Otherwise, late copies of a released
-        machine's heartbeats would cause a leader that did not see its record removed to record it
-        again and to search for it in vain.
+        machine's heartbeats would cause a leader that has not seen the removal of its record to
+        adopt it again, although it no longer exists.
         """
         name = heartbeat.machine
         if (
--- a/badgerseam/workers/worker_manager.py
+++ b/badgerseam/workers/worker_manager.py
@@ -154,7 +154,7 @@
         owner."""
         verdict = self.heartbeat_proxy.partition.verdict(shard, machine, heartbeat.fencing_token)
         if verdict is HeartbeatVerdict.REDIRECT:
-            # A newer owner has reached the worker. The worker would drop a 200 from this
+            # A later owner has reached the worker. The worker would drop a 200 from this
             # controller, and keep sending its heartbeats here until its lease ends.
             return self._redirect_to_owner(shard)
         if verdict is HeartbeatVerdict.PROXY:
