--- a/badgerseam/model/state.py
+++ b/badgerseam/model/state.py
@@ -95,7 +95,7 @@
     owned: bool = False
     """Whether this controller acts as the owner of the shard."""
     releasing: bool = False
-    """Whether this controller is giving up its ownership."""
+    """Whether this controller is giving up the shard."""
     term: int = 0
     """Version of the claim under which this controller owns the shard."""
     finished: int = 0
