--- a/badgerseam/sched/preemption.py
+++ b/badgerseam/sched/preemption.py
@@ -42,8 +42,8 @@
         return True
     if victim.team == request.team or victim.high or victim.rank > request.rank:
         # The protocol would allow claims on borrowed capacity of any rank, but the paper never
-        # evicts high-priority (HP) work. A replica stopped for another task may wait a minute for
-        # capacity, whereas that task would only have to wait for a machine to boot.
+        # evicts high-priority (HP) work. A replica stopped for another task may wait a minute,
+        # whereas that task would only have to wait for a machine to boot.
         return False
     if not state.within_guarantee(request):
         return False
