--- a/badgerseam/cluster/peers.py
+++ b/badgerseam/cluster/peers.py
@@ -75,7 +75,7 @@
         self._addresses = {sibling.node: sibling.peer_addr for sibling in settings.siblings}
 
     async def handle(self, method: str, path: str, body: bytes) -> Reply:
-        """Answer a peer's request."""
+        """Answers a peer's request."""
         if method == "GET":
             return self._answer_get(path)
         if method != "POST":
@@ -103,8 +103,8 @@
 
     # ---- takeovers ----
 
-    def accept_takeovers_with(self, take_over: Callable[[str, int], Awaitable[bool]]) -> None:
-        """Set the handler for claims that peers hand over: `take_over` gets the key and the
+    def set_takeover_handler(self, take_over: Callable[[str, int], Awaitable[bool]]) -> None:
+        """Sets the handler for claims that peers hand over: `take_over` gets the key and the
         version, and returns whether the new claim is known to be durable."""
         self._take_over = take_over
 
@@ -121,7 +121,7 @@
         return Reply(200)
 
     async def request_takeover(self, node: str, key: str, version: int) -> bool | None:
-        """Ask a peer to take over a claim of this controller.
+        """Asks a peer to take over a claim of this controller.
 
         Returns whether the peer says that it has done so; None if it cannot be asked, for example
         because its program version lacks such requests. Without a response the claim may have been
@@ -140,10 +140,10 @@
 
     # ---- why a job waits ----
 
-    def answer_questions_with(
+    def set_explain_handlers(
         self, local: LocalAnswers, view: Callable[[], CloudView | None]
     ) -> None:
-        """Set the handlers for peers' requests to explain waiting jobs and to return the view of
+        """Sets the handlers for peers' requests to explain waiting jobs and to return the view of
         the cloud."""
         self._explain_shard = local
         self._cloud_view = view
@@ -222,9 +222,9 @@
         return self._peer_with_state if recent and self._state_age_s() > MAX_STATE_AGE_S else None
 
     def is_unreachable(self, node: str) -> bool:
-        """Whether a peer has left several requests unanswered. A peer that responds again must do
-        so about as often before it counts as reachable. Requests are counted rather than seconds
-        because a process that was suspended has sent none in the meantime."""
+        """Whether a peer has left several requests unanswered. A peer that responds again must
+        respond about as many times before it counts as reachable. Requests are counted rather than
+        seconds because a process that was suspended has sent none in the meantime."""
         return self._unanswered.get(node, 0) >= MAX_UNANSWERED
 
     @property
@@ -235,7 +235,7 @@
         return self._unanswered_rounds >= MAX_UNANSWERED_ROUNDS
 
     async def run_health_checks(self) -> None:
-        """Check repeatedly whether the peers respond, and whether they reach the state service,
+        """Checks repeatedly whether the peers respond, and whether they reach the state service,
         until cancelled."""
         while True:
             responses = self._state.responses
@@ -249,7 +249,7 @@
             )
 
     async def _check_health(self, node: str, address: str) -> bool:
-        """Check a peer's health; returns whether it has responded."""
+        """Checks a peer's health; returns whether it has responded."""
         try:
             response = await self._http.request(address, "GET", "/health", None, HEALTH_INTERVAL_S)
             health = wire.health_decoder.decode(response.body)
@@ -292,7 +292,7 @@
     async def transfer_machines(
         self, machines: list[Machine], shard: int, evacuate: bool = False
     ) -> set[str]:
-        """Have the owner of the machines, which are all of one shard, transfer them to another
+        """Has the owner of the machines, which are all of one shard, transfer them to another
         shard; returns the names of the machines that it has transferred."""
         claim = self._model.shards[machines[0].shard].claim
         if claim is None:
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -198,7 +198,7 @@
             MAX_MACHINES_PER_ROUND,
             boot_s,
             self._request_of,
-            None if planner.classes is None else planner.classes.cautious_below(),
+            None if planner.classes is None else planner.classes.transfers_paused_below(),
         )
         self._start_moves(decisions, now)
         self._start_consolidation(decisions, now)
@@ -300,7 +300,7 @@
         """Returns whether a machine of a shard is usable or will be soon."""
         if machine.name in self._moves.in_progress:
             return False
-        if self._planner.usable(machine, now):
+        if self._planner.is_usable(machine, now):
             return True
         if machine.dropped or machine.lost or machine.draining:
             return False
@@ -308,7 +308,8 @@
         if shard.owned and machine.incarnation > 0:
             return False
         # Before a new leader has seen a list, it cannot tell whether other owners' machines without
-        # work have booted. Counted as overdue, running machines were replaced by rented ones.
+        # work have booted. If they counted as overdue, running machines would be replaced by rented
+        # ones.
         return not (self.machine_list.has_listed and self.boot_times.is_overdue(machine))
 
     def _add_rentals(self, nodes: list[pts.MachineSnapshot], shard: Shard) -> None:
--- a/badgerseam/sched/candidates.py
+++ b/badgerseam/sched/candidates.py
@@ -22,8 +22,8 @@
     """Priority queue of the machines with free capacity for a task of a request.
 
     Machines with the same score are grouped by zone. A fleet of hundreds has many identical
-    machines, mostly empty ones, and comparing all of them for every task took most of the planning
-    time.
+    machines, mostly empty ones, and comparing all of them for every task would take most of the
+    planning time.
     """
 
     def __init__(self, request: Request) -> None:
@@ -64,7 +64,8 @@
     def _best_of_score(
         self, score: Score, nodes: list[MachineSnapshot], zones: dict[str, int]
     ) -> int | None:
-        """Among the machines with one score, return one in the zone with the fewest job tasks."""
+        """Returns a machine with this score in the zone with the fewest tasks of the job, or
+        None."""
         zone_heaps = self._heaps[score]
         best: int | None = None
         fewest_tasks = 0
--- a/badgerseam/sched/oldest_job.py
+++ b/badgerseam/sched/oldest_job.py
@@ -1,9 +1,9 @@
 """Ageing: promotes the low-priority job that has waited longest, so that it does not starve.
 
-With deadline order alone, late jobs go last. In a long burst of submissions a large array, late
-before any of it was placed, waited for six minutes while small jobs started and finished. Only one
-job at a time is promoted, and only for a fraction of the starts: if all late jobs went first, no
-job would start in time any more. The fraction is enforced with credit: each start of another
+With deadline order alone, late jobs go last: in a long burst of submissions, a large array that is
+late before any of its tasks is placed waits for six minutes while small jobs start and finish. Only
+one job at a time is promoted, and only for a fraction of the starts: if all late jobs went first,
+no job would start in time any more. The fraction is enforced with credit: each start of another
 low-priority task adds credit to the shard, and each start of the oldest job uses some.
 """
 
@@ -19,8 +19,8 @@
 aged."""
 OLDEST_JOB_FRACTION = 0.25
 """Fraction of the low-priority starts that the oldest job may use while it can still begin in time.
-Measured in a long burst of submissions: with 0.5, fewer large jobs began completely in time than
-without ageing, because newer large jobs, which could have begun in time, had to wait as well."""
+With 0.5, in a long burst of submissions, fewer large jobs begin completely in time than without
+ageing, because newer large jobs, which could still begin in time, have to wait as well."""
 LATE_FRACTION = 0.1
 """The same fraction for a job that can no longer begin in time."""
 OLDEST_JOB_MAX_CREDIT = 64.0
--- a/badgerseam/sched/planner.py
+++ b/badgerseam/sched/planner.py
@@ -24,8 +24,8 @@
 """Seconds from the end of a checkpoint to the start of the next task: one heartbeat, the start of
 the task and the fetch of its image."""
 MIN_ESTIMATE_FRACTION = 0.5
-"""Fraction of its estimate within which a task may well end, since run time estimates are that
-inaccurate."""
+"""Minimum fraction of its run time estimate that a job is assumed to need when its deadline is
+checked, since estimates are inaccurate."""
 LATE_ORDER_OFFSET_S = 1e7
 """Offset that orders jobs that can no longer meet their deadline behind those that can."""
 NO_DEADLINE_S = 1e6
@@ -93,10 +93,10 @@
         return [
             self.node(machine, now)
             for machine in self._model.shard_machines[shard.index].values()
-            if self.usable(machine, now)
+            if self.is_usable(machine, now)
         ]
 
-    def usable(self, machine: Machine, now: float) -> bool:
+    def is_usable(self, machine: Machine, now: float) -> bool:
         """Whether tasks may be placed on the machine now."""
         return self.unusable_reason(machine, now) is None
 
@@ -108,10 +108,10 @@
         """Returns a snapshot of a machine, which is rebuilt only after the machine has changed."""
         while machine.evictions and now - machine.evictions[0] > self._tunables.window_s:
             machine.evictions.popleft()
-        node = machine.sched_view
+        node = machine.cached_snapshot
         if node is None:
             node = build_machine_snapshot(machine, self._model.types, self.replicas)
-            machine.sched_view = node
+            machine.cached_snapshot = node
         node.evictions = len(machine.evictions)
         return node
 
@@ -277,7 +277,7 @@
         spec = attempt.job.spec
         attempt.stopping = True
         attempt.job.mark_changed(attempt.task)
-        attempt.machine.sched_view = None
+        attempt.machine.cached_snapshot = None
         attempt.stop_sent = False
         may_checkpoint = spec.checkpoint_s > 0 and (
             wait_s is None or spec.save_s + SAVE_SLACK_S < wait_s
@@ -291,7 +291,7 @@
             not machine.attempts
             and machine.untracked_use == NOTHING
             and not machine.command_in_flight
-            # Without this check, an empty machine reserved for a replica move was transferred to
-            # another shard before the replica could use it.
+            # Without this check, an empty machine reserved for a replica move could be transferred
+            # to another shard before the replica uses it.
             and (self.replicas is None or self.replicas.reserved_on(machine) == NOTHING)
         )
--- a/badgerseam/standby/failure_detector.py
+++ b/badgerseam/standby/failure_detector.py
@@ -46,8 +46,8 @@
 HOLD_S = 1.0
 """Seconds for which the peer holds a request open."""
 RESPONSE_GRACE_S = 1.0
-"""Seconds by which the response may be later than that; after them the probe has timed out, which
-raises no suspicion."""
+"""Seconds by which the response may exceed HOLD_S before the probe times out, which raises no
+suspicion."""
 VIEW_DEADLINE_S = 0.3
 """Deadline, in seconds, for another peer to report its view of the suspected one."""
 CONFIRMATIONS_NEEDED = 2
@@ -76,7 +76,7 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         state: StateClient,
         options: StandbyOptions,
         ask: Ask,
@@ -87,21 +87,23 @@
         latest pause; `on_update`: receives each soft state update with the name of the peer that
         sent it."""
         self._model = model
-        self._member = member
+        self._membership = membership
         self._state = state
         self._options = options
         self._ask = ask
         self._lease_confirmed_since_pause = lease_confirmed_since_pause
         self._on_update = on_update
         self._clock = model.clock
-        self.peers = {name: PeerState() for name in member.order if name != member.node}
+        self.peers = {
+            name: PeerState() for name in membership.controller_names if name != membership.node
+        }
         self._stepped_at = self._clock.now()
         self._answered_versions: dict[str, int] = {}
         """For each peer, the version of its record whose liveness request was answered."""
         self._tasks = BackgroundTasks()
 
     def step(self) -> None:
-        """Probe the peers that are due, and advance the suspicions."""
+        """Probes the peers that are due, and advances the suspicions."""
         now = self._clock.now()
         has_paused = now - self._stepped_at > MAX_STEP_S
         self._stepped_at = now
@@ -116,7 +118,7 @@
             self._review_suspicion(name, peer, now)
 
     def on_redirected_worker(self, owner: str, machine: str) -> None:
-        """Record that a worker of another owner has sent its heartbeat to this controller."""
+        """Records that a worker of another owner has sent its heartbeat to this controller."""
         peer = self.peers.get(owner)
         if peer is not None and peer.refusals:
             peer.redirected_workers.add(machine)
@@ -129,7 +131,9 @@
     # ---- probing ----
 
     async def _probe(self, name: str, peer: PeerState) -> None:
-        body = wire.encode(wire.FollowRequest(self._member.node, peer.process, peer.update_number))
+        body = wire.encode(
+            wire.FollowRequest(self._membership.node, peer.process, peer.update_number)
+        )
         try:
             update = wire.update_decoder.decode(
                 await self._ask(name, "/standby/follow", body, HOLD_S + RESPONSE_GRACE_S)
@@ -167,7 +171,7 @@
         self._on_update(name, update)
 
     def _recognize_process(self, name: str, peer: PeerState, process: str) -> None:
-        """Record which process responded: the same as before, or a new one."""
+        """Records which process responded: the same as before, or a new one."""
         if peer.revoked_process is not None:
             if peer.revoked_process == process:
                 self._back_off(name, peer)
@@ -177,7 +181,7 @@
         peer.process = process
 
     def _back_off(self, name: str, peer: PeerState) -> None:
-        """Stop suspecting a peer for a while, because its lease was revoked although its process
+        """Stops suspecting a peer for a while, because its lease was revoked although its process
         had not ended."""
         backoff_s = max(self._options.backoff_s, 2 * peer.backoff_s)
         peer.backoff_s = min(backoff_s, MAX_BACKOFF_S)
@@ -187,18 +191,18 @@
     # ---- being suspected by peers ----
 
     def _answer_liveness_requests(self) -> None:
-        """Respond to peers whose records name this controller, by writing its own record again."""
+        """Responds to peers whose records name this controller, by writing its own record again."""
         for name, seen in self._model.controllers.items():
-            is_asked = self._member.node in seen.record.suspected
+            is_asked = self._membership.node in seen.record.suspected
             if is_asked and self._answered_versions.get(name) != seen.version:
                 self._answered_versions[name] = seen.version
                 log.info("liveness request received controller=%s", name)
-                self._member.registration.write_again()
+                self._membership.registration.write_again()
 
     # ---- suspecting peers ----
 
     def _review_suspicion(self, name: str, peer: PeerState, now: float) -> None:
-        """Take the next step from a suspicion towards the revocation of the peer's lease."""
+        """Takes the next step from a suspicion towards the revocation of the peer's lease."""
         if not self._is_suspected(peer, now) or now < max(peer.retry_after, peer.cooldown_until):
             return
         lease = lease_of(self._model, name)
@@ -255,15 +259,15 @@
     def _clear_suspicion(self, name: str, peer: PeerState) -> None:
         peer.refusals = 0
         peer.suspicion = None
-        self._member.registration.suspected.discard(name)
+        self._membership.registration.suspected.discard(name)
 
     def _is_own_turn(self, name: str, suspicion: Suspicion, now: float) -> bool:
         """Whether the successors ranked before this controller have had their time to act."""
-        ranked = successors(self._model, self._member.order, name)
-        if self._member.node not in ranked:
+        ranked = successors(self._model, self._membership.controller_names, name)
+        if self._membership.node not in ranked:
             return False
         turn_s = self._options.answer_s + SUCCESSOR_STAGGER_S
-        return now - suspicion.suspected_at >= turn_s * ranked.index(self._member.node)
+        return now - suspicion.suspected_at >= turn_s * ranked.index(self._membership.node)
 
     def _is_confirmed(self, name: str, peer: PeerState, suspicion: Suspicion, now: float) -> bool:
         """Whether workers or another peer have confirmed the suspicion; if not, asks the other
@@ -301,22 +305,22 @@
         return view.refused >= CONFIRMATIONS_NEEDED
 
     def _request_liveness(self, name: str, suspicion: Suspicion, now: float) -> None:
-        """Ask the peer through the state service whether it is running, by naming it in this
+        """Asks the peer through the state service whether it is running, by naming it in this
         controller's record."""
-        own = self._model.controllers.get(self._member.node)
+        own = self._model.controllers.get(self._membership.node)
         if own is None:
             return
         if suspicion.request_version == 0:
             suspicion.request_version = own.version
-            self._member.registration.suspected.add(name)
-            self._member.registration.write_again()
+            self._membership.registration.suspected.add(name)
+            self._membership.registration.write_again()
         elif suspicion.request_shown_at is None and own.version > suspicion.request_version:
             if name in own.record.suspected:
                 suspicion.request_shown_at = now
             else:
                 # The record was written for another reason, before it was to name the peer.
                 suspicion.request_version = own.version
-                self._member.registration.write_again()
+                self._membership.registration.write_again()
 
     async def _revoke_lease(self, name: str, peer: PeerState, suspicion: Suspicion) -> None:
         duration_s = self._clock.now() - peer.first_refused_at
--- a/badgerseam/standby/warm_standby.py
+++ b/badgerseam/standby/warm_standby.py
@@ -26,11 +26,11 @@
 
 RESTART_WINDOW_S = 120.0
 """Seconds during which a restart of a home controller still counts; each further restart within
-them doubles the time for which it must be available before its shard is returned."""
+this window doubles the time for which it must be available before its shard is returned."""
 MAX_REQUIRED_AVAILABLE_S = 60.0
 """Seconds of availability after which a home controller gets its shard back in any case."""
 MAX_RESTARTS = 10
-"""The number of latest restarts that are remembered for each peer."""
+"""Maximum number of restarts kept for each peer, the latest ones."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     def __init__(
         self,
         model: Model,
-        member: Membership,
+        membership: Membership,
         state: StateClient,
         options: StandbyOptions,
         tunables: Tunables,
@@ -58,15 +58,17 @@
         """`process`: a unique name of this process; `blocked`: the fleet's offers without
         capacity."""
         self._model = model
-        self._member = member
+        self._membership = membership
         self._clock = model.clock
         self._step_s = options.probe_s / 2
-        self.gate = TakeoverGate(model, member, options, tunables.claim_ttl_s, self._on_takeover)
+        self.gate = TakeoverGate(
+            model, membership, options, tunables.claim_ttl_s, self._on_takeover
+        )
         self.soft_state = SoftStateReceiver(model, options, tunables.window_s, blocked)
         self.soft_state_sender = SoftStateSender(model, options, process, blocked)
         self.failure_detector = FailureDetector(
             model,
-            member,
+            membership,
             state,
             options,
             ask,
@@ -119,13 +121,13 @@
     # ---- periodic work ----
 
     async def run(self) -> None:
-        """Call `step` periodically, until cancelled."""
+        """Calls `step` periodically, until cancelled."""
         while True:
             await asyncio.sleep(self._step_s)
             self.step()
 
     def step(self) -> None:
-        """Run the checks and the failure detector once; called several times in each `probe_s`."""
+        """Runs the checks and the failure detector once; called several times in each `probe_s`."""
         model = self._model
         with model.lock:
             if not model.loaded:
@@ -148,7 +150,7 @@
     # ---- peers' requests ----
 
     async def handle(self, path: str, body: bytes) -> Reply:
-        """Answer a peer's request to /standby/follow or /standby/view."""
+        """Answers a peer's request to /standby/follow or /standby/view."""
         try:
             if path == "/standby/view":
                 request = wire.peer_view_request_decoder.decode(body)
@@ -161,16 +163,16 @@
 
     async def _hold_request(self, follow: wire.FollowRequest) -> Reply:
         # A controller that is being drained may end only while it holds no request open.
-        is_held_open = not self._member.is_unavailable(UnavailableReason.DRAINING)
+        is_held_open = not self._membership.is_unavailable(UnavailableReason.DRAINING)
         if is_held_open:
             await asyncio.sleep(HOLD_S)
         return Reply(200, wire.encode(self.build_update(follow, is_held_open)))
 
     def build_update(self, follow: wire.FollowRequest, is_held_open: bool) -> wire.SoftStateUpdate:
-        """Build the update with the soft state that has changed for a peer; `is_held_open`: whether
-        its request was held open before."""
+        """Builds the update with the soft state that has changed for a peer; `is_held_open`:
+        whether its request was held open before."""
         with self._model.lock:
             claim = self._model.leader_claim
-            is_leader = claim is not None and claim.record.node == self._member.node
+            is_leader = claim is not None and claim.record.node == self._membership.node
             term = claim.version if claim is not None and is_leader else 0
             return self.soft_state_sender.build_update(follow, is_held_open, term)
--- a/badgerseam/store/proposal.py
+++ b/badgerseam/store/proposal.py
@@ -39,10 +39,11 @@
 
 
 class ProposalDroppedError(BadgerseamError):
-    """The proposal was dropped as no longer wanted; an earlier attempt may have been committed."""
+    """The proposal was dropped because `should_send` returned False; an earlier attempt may have
+    been committed."""
 
     def __init__(self, keys: Iterable[str]) -> None:
-        super().__init__(f"proposal no longer wanted: {', '.join(sorted(keys))}")
+        super().__init__(f"proposal dropped as no longer needed: {', '.join(sorted(keys))}")
 
 
 @dataclass(slots=True, eq=False)
@@ -58,7 +59,7 @@
     proposed_at: float
     deadline: float | None = None
     """Time after which the proposal fails instead of being sent."""
-    wanted: Callable[[], bool] | None = None
+    should_send: Callable[[], bool] | None = None
     """Called before each attempt to send; the proposal is dropped if it returns False."""
     priority_class: int = 0
     """Order among proposals of the same urgency; lower values go first."""
--- a/badgerseam/store/proposal_queue.py
+++ b/badgerseam/store/proposal_queue.py
@@ -65,14 +65,14 @@
     def pop(self, now: float) -> QueueEntry | None:
         """Removes and returns the first entry that may still be sent, or None.
 
-        Proposals before it that are no longer wanted, or past their deadline, are failed.
+        Proposals before it that should no longer be sent, or are past their deadline, are failed.
         """
         while self._heap:
             entry = heapq.heappop(self._heap)
             proposal = entry.proposal
             if entry.is_stale:
                 continue
-            if proposal.wanted is not None and not proposal.wanted():
+            if proposal.should_send is not None and not proposal.should_send():
                 proposal.fail(ProposalDroppedError(proposal.keys))
                 continue
             if proposal.deadline is not None and now >= proposal.deadline:
--- a/badgerseam/workers/unregistered.py
+++ b/badgerseam/workers/unregistered.py
@@ -13,9 +13,9 @@
 class UnregisteredWorkers:
     """Inspects unregistered workers while this controller is the leader."""
 
-    def __init__(self, model: Model, member: Membership, http: HttpClient) -> None:
+    def __init__(self, model: Model, membership: Membership, http: HttpClient) -> None:
         self._model = model
-        self._member = member
+        self._membership = membership
         self._http = http
         self._tasks = BackgroundTasks()
         self._inspecting: set[str] = set()
@@ -25,14 +25,14 @@
         """Starts an inspection of the worker. Callers must hold the model's lock.
 
         Only a machine that answers an inspection is adopted. Otherwise, late copies of a released
-        machine's heartbeats would cause a leader that did not see its record removed to record it
-        again and to search for it in vain.
+        machine's heartbeats would cause a leader that has not seen the removal of its record to
+        adopt it again, although it no longer exists.
         """
         name = heartbeat.machine
         if (
             name not in self._model.removed_machines
             and name not in self._inspecting
-            and self._member.is_leader
+            and self._membership.is_leader
         ):
             self._inspecting.add(name)
             self._tasks.spawn(self._inspect(name, heartbeat.address))
@@ -41,5 +41,5 @@
         heartbeat = await inspect(self._http, address, INSPECT_DEADLINE_S)
         with self._model.lock:
             self._inspecting.discard(name)
-            if heartbeat is not None and heartbeat.machine == name and self._member.is_leader:
+            if heartbeat is not None and heartbeat.machine == name and self._membership.is_leader:
                 self._model.unregistered[name] = heartbeat
