--- a/badgerseam/fleet/boot_times.py
+++ b/badgerseam/fleet/boot_times.py
@@ -115,7 +115,7 @@
         return max(USUAL_BOOT_FACTOR * stated_s, OUTLIER_FACTOR * quantile_s)
 
     def is_overdue(self, machine: Machine) -> bool:
-        """Returns whether a machine should have booted by now; work should not wait for it then."""
+        """Whether a machine should have booted by now; work should not wait for it then."""
         if machine.incarnation > 0 or machine.listed_running or machine.attempts:
             return False
         age_s = self._model.clock.wall() - machine.rented_at
@@ -127,6 +127,6 @@
         return age_s > self.max_expected_s(machine) + lag_s
 
     def never_boots(self, machine: Machine, age_s: float) -> bool:
-        """Returns whether a machine listed as booting at an age is considered never to boot."""
+        """Whether a machine listed as booting at an age is considered never to boot."""
         max_age_s = MAX_BOOT_FACTOR * self.stated_s(machine.type)
         return age_s > min(GIVE_UP_FACTOR * self.max_expected_s(machine), max_age_s)
--- a/badgerseam/fleet/consolidation.py
+++ b/badgerseam/fleet/consolidation.py
@@ -66,7 +66,7 @@
     free: dict[int, Resources],
     request_of: RequestOf,
 ) -> bool:
-    """Returns whether all tasks of a machine fit on the targets; reduces `free` accordingly."""
+    """Whether all tasks of a machine fit on the targets. Deducts those that fit from `free`."""
     zones_by_job: dict[int, dict[str, int]] = {}
     for task in node.running:
         job = task.key[0]
--- a/badgerseam/fleet/demand.py
+++ b/badgerseam/fleet/demand.py
@@ -106,9 +106,9 @@
         return bool(self._unplaced)
 
     def can_use(self, node: pts.MachineSnapshot, priority: PriorityKey | None) -> bool:
-        """Returns whether any task of a priority fits on an empty machine.
+        """Whether any task of a priority fits on an empty machine.
 
-        Without a priority this returns True and checks nothing.
+        Always True without a priority: nothing is checked then.
         """
         return priority is None or any(
             priority_key(tasks.request) == priority
--- a/badgerseam/fleet/evacuation.py
+++ b/badgerseam/fleet/evacuation.py
@@ -67,7 +67,7 @@
     def _may_evacuate(
         self, snapshot: pts.Snapshot, request: pts.Request, waiting: dict[int, int], now: float
     ) -> bool:
-        """Returns whether a request justifies an evacuation.
+        """Whether a request justifies an evacuation.
 
         It does if it has waited for long enough and is of high priority or within its team's
         guarantee.
@@ -126,7 +126,7 @@
     def _may_be_evacuated(
         self, machine: Machine, request: pts.Request, borrowers: set[int]
     ) -> bool:
-        """Returns whether all work on a machine may be stopped for a request.
+        """Whether all work on a machine may be stopped for a request.
 
         High-priority work may displace any low-priority work; other requests may only displace
         low-priority work of borrowers.
--- a/badgerseam/fleet/machine_transfer.py
+++ b/badgerseam/fleet/machine_transfer.py
@@ -133,13 +133,13 @@
         return done | written
 
     def _has_only_low_priority(self, machine: Machine) -> bool:
-        """Returns whether a machine of an owned shard has no high-priority work."""
+        """Whether a machine of an owned shard has no high-priority work."""
         return self._model.shards[machine.shard].owned and all(
             attempt.job.rank < HIGH_RANK for attempt in machine.attempts.values()
         )
 
     def _may_consolidate(self, machine: Machine) -> bool:
-        """Returns whether only services run on a machine, for long enough to be moved."""
+        """Whether only services run on a machine, for long enough to be moved."""
         now = self._model.clock.now()
         return (
             self._model.shards[machine.shard].owned
@@ -165,7 +165,7 @@
         ]
 
     def _may_transfer(self, machine: Machine) -> bool:
-        """Returns whether a machine of an owned shard is empty and not to be released."""
+        """Whether a machine of an owned shard is empty and not to be released."""
         return (
             self._model.shards[machine.shard].owned
             and (not machine.draining or machine.evacuate_to is not None)
--- a/badgerseam/fleet/manager.py
+++ b/badgerseam/fleet/manager.py
@@ -214,7 +214,7 @@
         ]
 
     def _is_idle(self, machine: Machine, now: float) -> bool:
-        """Returns whether an empty machine has been idle for long enough to be released."""
+        """Whether an empty machine has been idle for long enough to be released."""
         # The first minute is charged even if the machine is released earlier.
         is_charged = self._clock.wall() - machine.rented_at >= MIN_CHARGED_S
         return is_charged and now - machine.idle_since >= self._tunables.idle_s
@@ -297,7 +297,7 @@
         return snapshot
 
     def _counts_as_capacity(self, machine: Machine, shard: Shard, now: float) -> bool:
-        """Returns whether a machine of a shard is usable or will be soon."""
+        """Whether a machine of a shard is usable or will be soon."""
         if machine.name in self._moves.in_progress:
             return False
         if self._planner.is_usable(machine, now):
--- a/badgerseam/fleet/scale_out.py
+++ b/badgerseam/fleet/scale_out.py
@@ -95,7 +95,7 @@
         return f"{self._membership.node}-{self._membership.lease}-{self._sequence_number}"
 
     def _is_still_leader(self, version: int) -> bool:
-        """Returns whether this controller is still the leader under the claim of that version."""
+        """Whether this controller is still the leader under the claim of that version."""
         claim = self._model.leader_claim
         return claim is not None and claim.version == version and self._membership.lease is not None
 
--- a/badgerseam/model/machine_groups.py
+++ b/badgerseam/model/machine_groups.py
@@ -46,7 +46,11 @@
 
 
 def _remove_machine(model: Placements, name: str, group: str) -> None:
-    """Removes a machine. Its row is only removed from the group when it has certainly ended."""
+    """Removes a machine and its attempts from the model, since its row is no longer in the group.
+
+    The leader deletes a machine's row only after the cloud has confirmed the machine's release. The
+    machine has then certainly ended, and its tasks can be placed elsewhere.
+    """
     index = model.machine_index.get(name)
     if index is None or model.machines[index].group != group:
         return
--- a/badgerseam/standby/takeover_gate.py
+++ b/badgerseam/standby/takeover_gate.py
@@ -46,8 +46,8 @@
 
     name: str
     is_passed: Callable[[Shard | None, ObservedClaim], bool]
-    """Evaluates the condition for a shard, or None for the leadership, and the claim in the
-    replica."""
+    """Whether the condition holds. Called with the shard, or None if the claim is on the
+    leadership, and with the claim as the local replica of the state shows it."""
     on_failure: Outcome
     applies_to_leader: bool = True
 
--- a/badgerseam/wire/state.py
+++ b/badgerseam/wire/state.py
@@ -40,7 +40,7 @@
     frozen=True,
     rename={"put": "set", "delete": "remove", "value": "data", "version": "stamp"},
 ):
-    """A change of one key: either `put` or `delete` names it."""
+    """A change of one key. The key is in `put` if a value was written, or else in `delete`."""
 
     version: int
     """`stamp`: the revision of the change."""
@@ -58,7 +58,7 @@
     revision: int
     """`epoch`: the revision up to which the changes are complete."""
     events: list[Change] = field(default_factory=list)
-    """`log`: in the order of their revisions."""
+    """`log`: the changes, in the order of their revisions."""
 
 
 class Condition(Struct, frozen=True, rename={"key": "k", "version": "stamp"}):
@@ -76,16 +76,18 @@
     omit_defaults=True,
     rename={"put": "set", "delete": "remove", "value": "data", "lease": "grant"},
 ):
-    """A write of a transaction: either `put` or `delete` names the key."""
+    """A write of a transaction. The key is in `put` to store a value, or in `delete` to delete the
+    key."""
 
     put: str | None = None
-    """`set`"""
+    """`set`: the key to write."""
     delete: str | None = None
-    """`remove`"""
+    """`remove`: the key to delete."""
     value: Raw | None = None
-    """`data`"""
+    """`data`: the value to store."""
     lease: int | None = None
-    """`grant`: the lease whose end deletes the key; None if the key is permanent."""
+    """`grant`: the lease that the key is bound to: the key is deleted when the lease ends. None if
+    the key is permanent."""
 
 
 class Transaction(Struct, frozen=True, rename={"conditions": "when", "then": "writes"}):
@@ -101,56 +103,60 @@
     """The response to a transaction."""
 
     revision: int
-    """`epoch`: the revision of its writes."""
+    """`epoch`: the revision of the transaction's writes."""
     failed: list[str] = field(default_factory=list)
     """The keys whose conditions did not hold; if there are any, nothing was written."""
 
 
 class Lease(Struct, frozen=True, rename={"lease": "grant"}):
-    """A lease."""
+    """A lease that the state service has granted."""
 
     lease: int
-    """`grant`: its number."""
+    """`grant`: the number of the lease."""
 
 
 # ---- stored records ----
 
 
 class Claim(Struct, frozen=True, array_like=True):
-    """A controller, and the lease that its claim or its own record depends on."""
+    """The fields that claims and controllers' own records share: the controller, and the lease
+    with which the record ends."""
 
     node: str
     lease: int
     unavailable: bool = False
-    """In a controller's own record: whether it claims no shards, because no worker reaches it, it
-    is draining, or it does not support the site's level."""
+    """Only set in a controller's own record: True while the controller claims no shards, because no
+    worker reaches it, it is draining, or it does not support the site's level."""
 
 
 class ControllerRecord(Claim, frozen=True, array_like=True):
-    """A controller's own record, on its lease: shows that it is running, and which levels of the
-    stored state its program supports. Programs from before levels omit these."""
+    """A controller's own record, bound to its lease: shows that the controller is running, and
+    which levels of the stored state its program supports. Programs from before the introduction of
+    levels omit the fields after `unavailable`."""
 
     min_level: int = 1
     max_level: int = 1
     program: str = ""
     classes_digest: str = ""
-    """Digest of the priority classes in its options; empty if it has none."""
+    """Digest of the priority classes in the controller's options; empty if there are none."""
     suspected: list[str] = field(default_factory=list)
-    """Controllers that it suspects to have ended. If one of them is still running, it responds by
-    writing its own record again."""
+    """Names of the controllers that this one suspects to have ended. A suspected controller that is
+    still running responds by writing its own record again."""
 
 
 class ClaimRecord(Claim, frozen=True, array_like=True):
     """A claim on a shard or on the leadership."""
 
     previous_owner_until: float | None = None
-    """Time of day until which the previous owner may still respond to the shard's workers, if it is
-    cut off from the state service; None from a program that does not record it. Later processes of
-    the owner copy the value, since they cannot determine it themselves."""
+    """Time of day until which previous owners that are cut off from the state service may still
+    respond to the shard's workers; None if the program that wrote the record does not store it. A
+    later process of the same owner copies the value into its own claim, since it cannot determine
+    the value itself."""
 
 
 class ProxyRecord(Struct, frozen=True, array_like=True):
-    """The owners for which a controller responds to heartbeats, because it cannot reach them."""
+    """A controller that acts as a proxy: it responds to heartbeats in place of owners that it
+    cannot reach."""
 
     node: str
     lease: int
@@ -158,7 +164,8 @@
 
 
 class StoredJob(Struct, frozen=True, array_like=True):
-    """A job: an open one with its description, or an ended one with only its number of tasks."""
+    """A job. The record of an open job contains its description; that of an ended job may omit it
+    and keep only the number of tasks."""
 
     state: str
     tasks: int
@@ -167,8 +174,8 @@
     usage: Usage | None = None
     """The usage summary of an ended job, if it was accounted for."""
     queue_position: int = 0
-    """The version of the record with which the job was accepted, kept when the record is rewritten;
-    0 in that first record itself."""
+    """The version of the record with which the job was accepted. That first record itself stores 0;
+    records that replace it while the job is open store its version, as does `StoredMember`."""
 
 
 class StoredMember(StoredJob, frozen=True, array_like=True):
@@ -181,7 +188,8 @@
 
 
 class TaskRow(Struct, frozen=True, array_like=True):
-    """A task that has been attempted: its number, last attempt, and the machine it may be on."""
+    """A task that has been attempted: the numbers of the task and of its last attempt, and the
+    machine on which the task may be running."""
 
     task: int
     attempt: int
@@ -196,8 +204,8 @@
     step: int
     """Number of failures. If there are two notes on a task, the one with more failures is valid."""
     attempt: int = 0
-    """The last attempt that failed. If the next owner receives it in a heartbeat again, it does not
-    count it twice."""
+    """The number of the last attempt that failed. If a heartbeat reports this failure again to the
+    next owner, the owner does not count it twice."""
 
 
 class StoredReplica(Struct, frozen=True, array_like=True, tag="r"):
@@ -222,21 +230,25 @@
 
 
 class JobRows(Struct, frozen=True, array_like=True):
-    """The entry of a job in a page of the task log: finished tasks, as the number of each chunk of
-    tasks with a hexadecimal bit set, and rows of the tasks that have been attempted."""
+    """The entry of a job in a page of the task log: its finished tasks, and rows of the tasks that
+    have been attempted."""
 
     job: str
     done: list[tuple[int, str]]
+    """Finished tasks, by chunk of tasks: the number of the chunk, and a bit set in hexadecimal
+    digits."""
     rows: list[TaskRow]
     starts: list[tuple[int, int]] = field(default_factory=list)
-    """When attempts of these rows started to run, if the site's level includes it: the task, and
-    tenths of a second after the job's acceptance. Programs of the previous level omit it."""
+    """When attempts of these rows started to run, if the site's level includes these times: the
+    task, and tenths of a second after the job's acceptance. Programs of the previous level omit
+    this field."""
     notes: list[Note] = field(default_factory=list)
     """Notes on single tasks and replicas, if the site's level includes them."""
 
 
 class StoredMachine(Struct, frozen=True, array_like=True):
-    """A machine and the shard that it serves. A dropped machine waits to be released."""
+    """A machine, and the shard whose tasks it runs. If `dropped` is set, the machine waits to be
+    released."""
 
     name: str
     shard: int
@@ -267,14 +279,16 @@
     """The leader that wrote the record."""
     at: float
     migrated: int = 1
-    """No record is left in a format that was replaced by this level or an earlier one."""
+    """The level to which all records have been migrated: no record is left in a format that this
+    level or an earlier one replaced."""
 
 
 class TargetLevel(Struct, frozen=True, array_like=True):
-    """The level requested by operators. Without this record, the level is raised when possible."""
+    """The level requested by operators. Without this record, the site's level is raised whenever
+    possible."""
 
     level: int
-    """The level to change to, one step at a time, and then to keep."""
+    """The site's level is changed to this one, one level at a time, and then stays there."""
     by: str
     at: float
 
@@ -286,22 +300,24 @@
     phase: str
     """`open`, `reckoning`, `second` (the second round), `closing` or `closed`."""
     opened: float
-    """Time of day at which it was opened."""
+    """Time of day at which the run was opened."""
     slot: float
-    """Time of day at which it was scheduled to open."""
+    """Time of day at which the run was scheduled to open."""
     closes: float
-    """Time of day by which it must enter the phase `closing`."""
+    """Time of day by which the run must enter the phase `closing`."""
     by: str
     """The controller that wrote the record."""
     at: float
     """Time of day at which the phase began."""
     cutoff_version: int = 0
-    """For a closed run: the version of its closing record; jobs accepted before it are members.
-    While the run is closing, the cutoff is the version of the record itself."""
+    """For a closed run: the version that the record had in the phase `closing`. Jobs accepted
+    before this version are members of the run, unless an earlier run includes them. While the run
+    is closing, the cutoff is the version of the record itself."""
     seen: int = 0
     """For a closed run: the revision at which its members were counted."""
     counts: list[int] = field(default_factory=list)
-    """For a closed run: the numbers of reckoned, withdrawn and unresolved members."""
+    """For a closed run: the numbers of reckoned, cancelled and unresolved members, in this order.
+    The API names the cancelled ones `withdrawn`."""
     reasons: dict[str, int] = field(default_factory=dict)
     """Number of unresolved members by reason."""
 
@@ -323,12 +339,13 @@
     by: str
     at: float
     age_s: float = 0.0
-    """A job is treated as one class higher for each period of this length that it has waited; 0:
-    never."""
+    """Seconds of waiting after which a job is treated as one class higher, and again after each
+    further period of this length; 0: jobs stay in their classes."""
     max_hold_s: float = 0.0
     """Seconds after a takeover for which capacity is reserved for expected arrivals."""
     options: str = ""
-    """Digest of the options from which the record was made; only different options replace it."""
+    """Digest of the options from which the record was made. The record is replaced only if the
+    options have changed."""
 
 
 class StoredCounts(Struct, frozen=True, array_like=True):
